--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: the order of the checks that a request passes before its first attempt.
+//! Admission: the checks that a request passes before its first attempt, in order.
 
 use applewall_node_types::TimeSpan;
 
@@ -12,27 +12,28 @@
 use super::rejection::Rejection;
 use crate::api::Request;
 
-/// Queueing time, in shortest objectives, below which the fleet has capacity for requests beyond a quota.
-const MAX_IDLE_QUEUEING: f64 = 0.2;
-/// Smallest number of units that a priority weight is computed with.
+/// Queueing time, in shortest objectives, below which the fleet has spare capacity for requests beyond a quota.
+const MAX_SPARE_QUEUEING: f64 = 0.2;
+/// Minimum number of units that a priority weight is computed with.
 const MIN_WEIGHTED_UNITS: f64 = 1e-3;
 
 /// The components of the policy that admission uses.
 pub(super) struct Admission<'a> {
-    /// Quota, ceiling and concurrency limit. The request is recorded there already.
+    /// Quota, ceiling and concurrency limit. The request has already been recorded there.
     pub(super) quotas: &'a QuotaLedger,
-    /// Backlog and ladder, which count the request.
+    /// Backlog limit and ladder, which count the request.
     pub(super) overload: &'a mut OverloadControl,
     /// Cost of the request.
     pub(super) latency: &'a LatencyEstimator,
     /// Work in flight.
     pub(super) pending: &'a PendingRequests,
-    /// Endpoints that take requests.
+    /// The endpoints, whose number bounds the backlog.
     pub(super) endpoints: &'a EndpointTable,
 }
 
 impl Admission<'_> {
-    /// Decides whether a request may be sent: quota and concurrency limit, ceiling, backlog, ladder.
+    /// Decides whether a request may be sent. Checks the quota and concurrency limit, the ceiling, the backlog limit
+    /// and the ladder, in this order.
     pub(super) fn decide(
         &mut self,
         context: &mut Context<'_>,
@@ -53,7 +54,8 @@
         Ok(PendingRequest::new(context.now(), request, admitted))
     }
 
-    /// Whether the request counts as within the quota. Beyond the quota it may be sent where the plan pays for it.
+    /// Decides whether the request counts as within the quota. Beyond the quota it may be sent only if the plan pays
+    /// for it.
     fn decide_quota(
         &self,
         context: &mut Context<'_>,
@@ -75,13 +77,13 @@
         }
     }
 
-    /// True where a request beyond the quota earns more than it costs, and capacity is left for it.
+    /// Returns true if a request beyond the quota earns more weight than it costs and there is capacity to spare.
     fn is_paid_excess(&self, context: &Context<'_>, request: &Request) -> bool {
         let plan = context.plan(request.plan);
         let is_paid = plan.over_quota_weight_fraction > plan.over_quota_penalty_fraction;
-        let is_idle = !context.is_large_fleet()
-            || self.overload.relative_queueing_time(context) < MAX_IDLE_QUEUEING;
-        is_paid && self.overload.admits_all() && is_idle
+        let has_spare_capacity = !context.is_large_fleet()
+            || self.overload.relative_queueing_time(context) < MAX_SPARE_QUEUEING;
+        is_paid && self.overload.admits_all() && has_spare_capacity
     }
 
     fn check_ceiling(
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Counts the request in the load, and takes its cost from its tier where neither the backlog nor the filter in force
-    /// rejects it.
+    /// Counts the request in the load and takes its cost from its tier, unless the backlog limit or the filter in
+    /// force rejects it.
     fn charge_load(
         &mut self,
         context: &mut Context<'_>,
@@ -115,7 +117,7 @@
         let overload = &mut *self.overload;
         overload.record_requested(cost);
         let is_shed = overload.decide_backlog_shedding(context, request.class, weighted, &backlog);
-        // The ladder counts every request within quotas, those that the backlog limit sheds too.
+        // The ladder counts every request within the quotas, including those that the backlog limit sheds.
         let passes_ladder = overload.take_tier_tokens(context, weighted);
         if is_shed {
             return Err(Rejection::Backlog);
@@ -127,14 +129,14 @@
     }
 }
 
-/// Priority weight of a request: its class's, by its plan's multiplier and its units.
+/// Priority weight of a request: its class's weight times its plan's multiplier and its units.
 fn priority_weight(context: &Context<'_>, request: &Request) -> f64 {
     let class = context.class(request.class);
     let plan = context.plan(request.plan);
     class.priority_weight * plan.weight_multiplier * request.units.max(MIN_WEIGHTED_UNITS)
 }
 
-/// Latency of a request that is sent now: the learned one, or the queueing time where it is longer.
+/// Expected latency of a request that is sent now: the learned mean, or the queueing time if it is longer.
 pub(super) fn expected_latency(
     context: &Context<'_>,
     overload: &OverloadControl,
--- a/src/decision/context.rs
+++ b/src/decision/context.rs
@@ -1,4 +1,4 @@
-//! What every component of the policy is given with an event: the settings, the present moment and the random generator.
+//! The context of an event: the settings, the current time and the random generator.
 
 use applewall_node_types::{TimeSpan, Timestamp};
 use rand::rngs::SmallRng;
@@ -7,10 +7,10 @@
 use super::fleet_size::is_large_fleet;
 use crate::api::{Class, ClassId, NodeId, Plan, PlanId, PolicySettings};
 
-/// The settings, the present moment and the random generator.
+/// The settings, the current time and the random generator.
 ///
-/// A method that takes `&Context` only looks; one that takes `&mut Context` draws. The order of draws is part of what the
-/// policy decides: the same seed and the same events give the same actions.
+/// A method that takes `&mut Context` uses the random generator; one that takes `&Context` does not. The order in
+/// which random numbers are drawn is part of the policy's behaviour: the same seed and events give the same actions.
 pub(crate) struct Context<'a> {
     settings: &'a PolicySettings,
     now: Timestamp,
@@ -19,7 +19,7 @@
 }
 
 impl<'a> Context<'a> {
-    /// `started_at`: when this process, or the one whose state it took over, started.
+    /// `started_at`: when this process started, or the process whose state it took over.
     pub(crate) fn new(
         settings: &'a PolicySettings,
         now: Timestamp,
@@ -34,12 +34,12 @@
         }
     }
 
-    /// The present moment.
+    /// The current time.
     pub(crate) fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// When this process, or the one whose state it took over, started.
+    /// When this process started, or the process whose state it took over.
     pub(crate) fn started_at(&self) -> Timestamp {
         self.started_at
     }
@@ -49,17 +49,17 @@
         self.now - self.started_at
     }
 
-    /// A random number from 0 to 1.
+    /// Draws a random number in [0, 1).
     pub(crate) fn draw(&mut self) -> f64 {
         self.rng.random()
     }
 
-    /// A random index below a bound.
+    /// Draws a random index below `bound`.
     pub(crate) fn draw_index(&mut self, bound: usize) -> usize {
         self.rng.random_range(0..bound)
     }
 
-    /// Another node of the fleet, drawn at random.
+    /// Draws another node of the fleet.
     pub(crate) fn draw_peer(&mut self) -> NodeId {
         let distance = 1 + self.rng.random_range(0..self.settings.node_count - 1);
         NodeId((self.settings.node.0 + distance) % self.settings.node_count)
@@ -80,7 +80,7 @@
         self.settings.plan(plan)
     }
 
-    /// Latency objective of a class.
+    /// The latency objective of a class.
     pub(crate) fn latency_objective(&self, class: ClassId) -> TimeSpan {
         TimeSpan::from_nanoseconds(self.class(class).latency_objective_ns)
     }
@@ -94,12 +94,12 @@
             .fold(TimeSpan::INFINITE, TimeSpan::min)
     }
 
-    /// Time over which overload of an endpoint in slow start is counted.
+    /// Window over which the overload of an endpoint in slow start is counted.
     pub(crate) fn overload_window(&self) -> TimeSpan {
         TimeSpan::from_nanoseconds(self.settings.overload_window_ns)
     }
 
-    /// Time after its start in which an endpoint gains its full capacity.
+    /// Duration of slow start, after which an endpoint has its full capacity.
     pub(crate) fn slow_start_span(&self) -> TimeSpan {
         TimeSpan::from_nanoseconds(self.settings.slow_start_ns)
     }
@@ -109,12 +109,12 @@
         self.settings.node
     }
 
-    /// Number of nodes in the fleet, 1 at least.
+    /// Number of nodes in the fleet, at least 1.
     pub(crate) fn node_count(&self) -> u32 {
         self.settings.node_count.max(1)
     }
 
-    /// True in a fleet too large for each node to report to all others.
+    /// Returns true if the fleet is too large for each node to report to all others.
     pub(crate) fn is_large_fleet(&self) -> bool {
         is_large_fleet(self.settings)
     }
--- a/src/decision/decaying_rate.rs
+++ b/src/decision/decaying_rate.rs
@@ -5,8 +5,8 @@
 
 /// An exponentially decaying average of a rate.
 ///
-/// The time constant is the caller's, so that one estimate can be read with the time constant in force at that moment. The
-/// order of the fields is that of the state snapshot.
+/// The caller passes the time constant, so that one estimate can be read with the time constant that applies at that
+/// time. The order of the fields is part of the state snapshot's encoding.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct DecayingRate {
     per_second: f64,
@@ -14,7 +14,7 @@
 }
 
 impl DecayingRate {
-    /// The rate at which an amount has to come to be read as that amount over one time constant.
+    /// The rate that reads as `amount` over one time constant.
     pub(crate) fn of_amount(now: Timestamp, amount: f64, time_constant: TimeSpan) -> Self {
         DecayingRate {
             per_second: amount / time_constant.as_seconds(),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Amount per second as of now.
+    /// Amount per second at `now`.
     pub(crate) fn read(&self, now: Timestamp, time_constant: TimeSpan) -> f64 {
         self.per_second
             * (now - self.updated_at)
@@ -30,12 +30,12 @@
                 .decay(time_constant)
     }
 
-    /// Amount in one time constant as of now.
+    /// Amount over one time constant at `now`.
     pub(crate) fn read_amount(&self, now: Timestamp, time_constant: TimeSpan) -> f64 {
         self.read(now, time_constant) * time_constant.as_seconds()
     }
 
-    /// Counts an amount.
+    /// Adds an amount.
     pub(crate) fn add(&mut self, now: Timestamp, amount: f64, time_constant: TimeSpan) {
         *self = DecayingRate {
             per_second: self.read(now, time_constant) + amount / time_constant.as_seconds(),
@@ -43,7 +43,7 @@
         };
     }
 
-    /// When the last amount was counted.
+    /// When an amount was last added.
     pub(crate) fn updated_at(&self) -> Timestamp {
         self.updated_at
     }
--- a/src/decision/endpoints/mod.rs
+++ b/src/decision/endpoints/mod.rs
@@ -1,9 +1,9 @@
-//! Upstream endpoints: the list, what is known of each endpoint, and which one gets an attempt.
+//! Upstream endpoints: the list, the state of each endpoint, and the selection of endpoints for attempts.
 //!
-//! [`EndpointTable`] owns all records (`table`, `record`). Outcomes of attempts (`outcomes`) change an endpoint's health
-//! (`health`) and may eject it (`outlier`); an endpoint that starts gets its traffic by a budget (`slow_start`); in a large
-//! fleet a node sends to a subset of the endpoints (`subset`). All of it is weighed when an endpoint is selected
-//! (`selection`). Nothing outside this module reads or writes a record.
+//! [`EndpointTable`] owns all records (`table`, `record`). Outcomes of attempts (`outcomes`) change an endpoint's
+//! health (`health`) and may eject it (`outlier`). An endpoint in slow start gets its traffic from a budget
+//! (`slow_start`). In a large fleet, a node sends to a subset of the endpoints (`subset`). Selection (`selection`)
+//! combines all of these. Records are not accessed outside this module.
 
 mod health;
 mod outcome_history;
--- a/src/decision/endpoints/outcomes.rs
+++ b/src/decision/endpoints/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the outcome of an attempt teaches about its endpoint, about latency and about load.
+//! Updates of an endpoint's record, the latency estimates and the load statistics by the outcome of an attempt.
 
 use applewall_node_types::TimeSpan;
 
@@ -10,33 +10,35 @@
 use crate::decision::latency::LatencyEstimator;
 use crate::decision::overload::{outcome_statistics, LoadStatistics};
 
-/// Weight of one response in an endpoint's latency factor: a memory of about ten responses.
+/// Weight of one response in an endpoint's latency factor: an average over about ten responses.
 const LATENCY_FACTOR_WEIGHT: f64 = 0.1;
-/// Smallest latency factor that one response can teach about an endpoint.
+/// Lower bound of the latency factor that one response contributes.
 const MIN_LATENCY_FACTOR: f64 = 0.1;
-/// Largest latency factor that one response can teach about an endpoint.
+/// Upper bound of the latency factor that one response contributes.
 const MAX_LATENCY_FACTOR: f64 = 5.0;
-/// Shortest usual latency that a factor is computed with.
+/// Minimum usual latency that a factor is computed with.
 const MIN_USUAL_LATENCY: TimeSpan = TimeSpan::from_seconds(1e-4);
-/// Shortest objective that a relative latency is computed with.
+/// Minimum objective that a relative latency is computed with.
 const MIN_OBJECTIVE: TimeSpan = TimeSpan::from_seconds(1e-6);
-/// Smallest slow-start fraction by which a latency is scaled: an endpoint in slow start is slow without being overloaded.
+/// Minimum slow-start fraction by which a latency is scaled: an endpoint in slow start is slow without being
+/// overloaded.
 const MIN_SLOW_START_FACTOR: f64 = 0.8;
 
 impl EndpointTable {
-    /// Records an outcome with its endpoint, and learns from a response's latency. Returns the statistics that the outcome
-    /// adds to the load, where the endpoint is healthy: one endpoint that fails is no overload.
+    /// Records an outcome in its endpoint's record and updates the latency estimates from a response. Returns the
+    /// load statistics of the outcome if the endpoint is healthy, since the failure of one endpoint is not an
+    /// overload.
     pub(crate) fn record_outcome(
         &mut self,
         context: &Context<'_>,
         latency: &mut LatencyEstimator,
-        rate_memory: TimeSpan,
+        rate_time_constant: TimeSpan,
         finished: &FinishedAttempt,
         result: &AttemptResult,
     ) -> Option<LoadStatistics> {
         let FinishedAttempt { attempt, endpoint } = finished;
         let record = self.record_mut(*endpoint);
-        let health = HealthContext::new(context, rate_memory);
+        let health = HealthContext::new(context, rate_time_constant);
         let taken = TimeSpan::from_nanoseconds(result.latency_ns);
         let usual = latency.usual(attempt.kind()) * record.machine_factor(context, latency);
         let slow_start = record
@@ -48,7 +50,7 @@
         let succeeded = result.outcome == Outcome::Success;
         if succeeded {
             latency.record(attempt.kind(), record.endpoint.machine_type, taken, usual);
-            record.learn_latency_factor(taken, usual, rate_memory);
+            record.update_latency_factor(taken, usual, rate_time_constant);
         }
         record
             .outcomes
@@ -56,7 +58,7 @@
         is_healthy.then(|| outcome_statistics(result.outcome, relative_latency))
     }
 
-    /// Ejects the endpoint of an attempt, or ends its ejection, by the outcome.
+    /// Ejects the endpoint of an attempt, or ends its ejection, depending on the outcome.
     pub(crate) fn apply_outlier_detection(
         &mut self,
         context: &Context<'_>,
@@ -69,8 +71,8 @@
 }
 
 impl EndpointRecord {
-    /// Latency factor of the endpoint's machine type. It counts in a large fleet, where too few responses come from each
-    /// endpoint.
+    /// Latency factor of the endpoint's machine type. Used only in a large fleet, where each endpoint gives a node
+    /// too few responses.
     pub(super) fn machine_factor(&self, context: &Context<'_>, latency: &LatencyEstimator) -> f64 {
         if context.is_large_fleet() {
             latency.machine_factor(self.endpoint.machine_type)
@@ -79,10 +81,15 @@
         }
     }
 
-    fn learn_latency_factor(&mut self, taken: TimeSpan, usual: TimeSpan, rate_memory: TimeSpan) {
+    fn update_latency_factor(
+        &mut self,
+        taken: TimeSpan,
+        usual: TimeSpan,
+        rate_time_constant: TimeSpan,
+    ) {
         let factor =
             (taken / usual.max(MIN_USUAL_LATENCY)).clamp(MIN_LATENCY_FACTOR, MAX_LATENCY_FACTOR);
-        let weight = rate_memory.as_seconds().sqrt();
+        let weight = rate_time_constant.as_seconds().sqrt();
         self.latency_factor += (factor - self.latency_factor) * LATENCY_FACTOR_WEIGHT * weight;
     }
 }
--- a/src/decision/endpoints/outlier.rs
+++ b/src/decision/endpoints/outlier.rs
@@ -1,23 +1,23 @@
-//! Outlier ejection: an endpoint that fails or does not answer in time gets only a trickle of requests for a while.
+//! Outlier ejection: an endpoint that fails or does not respond in time temporarily gets only a minimum of requests.
 
 use applewall_node_types::{TimeSpan, Timestamp};
 
 use super::record::EndpointRecord;
 use crate::api::Outcome;
 
-/// Ejection time after the first failure in a row. It doubles with each further one, tolerated resets included: the third
-/// reset in a row ejects for four times as long.
+/// Ejection time after the first consecutive failure. It doubles with each further one, including tolerated resets:
+/// the third consecutive reset ejects for four times as long.
 const FIRST_EJECTION: TimeSpan = TimeSpan::from_seconds(0.5);
-/// Longest ejection time: an endpoint that has recovered gets traffic again after it.
+/// Maximum ejection time, after which an endpoint that has recovered gets traffic again.
 const MAX_EJECTION: TimeSpan = TimeSpan::from_seconds(4.0);
-/// Doublings of the ejection time at most.
+/// Maximum number of doublings of the ejection time.
 const MAX_DOUBLINGS: u32 = 3;
-/// Connection resets in a row, without a response, that eject no endpoint: single connections break, and a malformed
-/// response counts as a reset. An endpoint that is down rejects the next connection.
+/// Consecutive connection resets that do not eject an endpoint: single connections break, and a malformed response
+/// counts as a reset. An endpoint that is down refuses the next connection.
 const TOLERATED_RESETS: u32 = 2;
 
 impl EndpointRecord {
-    /// True until the ejection time has passed.
+    /// Returns true until the ejection time has passed.
     pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
@@ -25,7 +25,7 @@
     /// Ejects the endpoint after an outcome that counts against it, and ends its ejection after a response.
     pub(super) fn apply_outcome(&mut self, now: Timestamp, sent_at: Timestamp, outcome: Outcome) {
         match outcome {
-            // It has answered other attempts since: the request was slow, not the endpoint.
+            // The endpoint has answered another attempt since, so the request was slow, not the endpoint.
             Outcome::TimedOut if self.has_answered_since(sent_at) => {}
             Outcome::ConnectionReset if self.consecutive_failures < TOLERATED_RESETS => {
                 self.consecutive_failures += 1;
@@ -42,13 +42,13 @@
         }
     }
 
-    fn has_answered_since(&self, moment: Timestamp) -> bool {
+    fn has_answered_since(&self, sent_at: Timestamp) -> bool {
         self.last_response_at
-            .is_some_and(|response| response >= moment)
+            .is_some_and(|response| response >= sent_at)
     }
 
-    /// The endpoint is silent, down or restarting. After a restart it is in slow start, which the list shows
-    /// seconds later.
+    /// Ejects the endpoint, which is silent, down or restarting. After a restart it is in slow start, which the list
+    /// shows only seconds later.
     fn eject(&mut self, now: Timestamp) {
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         let span = (FIRST_EJECTION * f64::from(1u32 << doublings)).min(MAX_EJECTION);
--- a/src/decision/endpoints/record.rs
+++ b/src/decision/endpoints/record.rs
@@ -1,4 +1,4 @@
-//! What this node knows of one upstream endpoint.
+//! The state of one upstream endpoint as this node knows it.
 
 use std::collections::VecDeque;
 
@@ -9,8 +9,8 @@
 use crate::decision::latency::RequestKind;
 use crate::decision::pending::PendingRequest;
 
-/// Shortest time between two starts of an endpoint. A start that the list names less later is the same one, whose Unix time was
-/// converted again: after a hot restart, or with a clock that drifts.
+/// Minimum time between two starts of an endpoint. A reported start time that is later by less is the same start,
+/// whose Unix time was converted again after a hot restart or with a drifting clock.
 const MIN_RESTART_DISTANCE: TimeSpan = TimeSpan::from_seconds(0.1);
 
 /// An attempt in flight.
@@ -26,7 +26,7 @@
 }
 
 impl InFlightAttempt {
-    /// The next attempt of a request.
+    /// Creates the next attempt of a request.
     pub(super) fn next(id: RequestId, request: &PendingRequest, now: Timestamp) -> Self {
         InFlightAttempt {
             request: id,
@@ -44,7 +44,7 @@
         self.sent_at
     }
 
-    /// Its cost, in requests of the mean.
+    /// Its cost, relative to a mean request.
     pub(crate) fn cost(&self) -> f64 {
         self.cost
     }
@@ -64,17 +64,17 @@
         self.kind
     }
 
-    /// Its number, from 0, where it is of a request.
-    pub(super) fn number_of(&self, request: RequestId) -> Option<u32> {
+    /// Its number, from 0, if it is an attempt of this request.
+    pub(super) fn number_for(&self, request: RequestId) -> Option<u32> {
         (self.request == request).then_some(self.number)
     }
 }
 
-/// An attempt that was sent to an endpoint in its slow start.
+/// An attempt that was sent to an endpoint during its slow start.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RecentAttempt {
     pub(super) sent_at: Timestamp,
-    /// Its cost, in requests of the mean.
+    /// Its cost, relative to a mean request.
     pub(super) cost: f64,
 }
 
@@ -83,25 +83,25 @@
 pub(super) struct EndpointRecord {
     /// Its entry in the list.
     pub(super) endpoint: Endpoint,
-    /// Takes requests.
+    /// Whether it takes requests.
     pub(super) is_ready: bool,
-    /// The list no longer names it, or names it as removed.
+    /// Whether the list no longer contains it, or marks it as removed.
     pub(super) is_removed: bool,
-    /// A member of this node's subset of endpoints.
+    /// Whether it is in this node's subset of endpoints.
     pub(super) in_subset: bool,
     /// Start of its slow start.
     pub(super) slow_start_from: Timestamp,
-    /// Returned to service after maintenance, with no attempt since.
+    /// Whether it has been returned to service after maintenance and has had no attempt since.
     pub(super) awaits_first_attempt: bool,
     /// Attempts in flight from this process.
     pub(super) in_flight: Vec<InFlightAttempt>,
-    /// Its latency as a multiple of the usual one.
+    /// Its latency as a multiple of the usual latency.
     pub(super) latency_factor: f64,
-    /// When it answered last.
+    /// Time of its last response.
     pub(super) last_response_at: Option<Timestamp>,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub(super) consecutive_failures: u32,
-    /// Until when it is ejected.
+    /// When its ejection ends.
     pub(super) ejected_until: Option<Timestamp>,
     /// Attempts sent during its slow start.
     pub(super) recent_attempts: VecDeque<RecentAttempt>,
@@ -110,7 +110,7 @@
 }
 
 impl EndpointRecord {
-    /// A record of which nothing is known but its entry in the list.
+    /// Creates the record of an endpoint of which only the list entry is known.
     pub(super) fn new(
         endpoint: Endpoint,
         slow_start_from: Timestamp,
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Applies an entry of the list. An endpoint that was restarted begins its slow start; its latency, failures and
-    /// outcomes are forgotten.
+    /// Applies an entry of the list. For an endpoint that was restarted, slow start begins and the latency factor,
+    /// failures and outcomes are reset.
     pub(super) fn update(&mut self, endpoint: &Endpoint, started_at: Timestamp) {
         self.is_ready = endpoint.state == EndpointState::Ready;
         self.is_removed = endpoint.state == EndpointState::Removed;
@@ -153,23 +153,21 @@
             .iter()
             .map(InFlightAttempt::sent_at)
             .reduce(Timestamp::min)
-            .map_or(TimeSpan::ZERO, |oldest| {
-                now - self.later_of_response(oldest)
-            })
+            .map_or(TimeSpan::ZERO, |oldest| now - self.wait_start(oldest))
     }
 
-    /// A moment, or the last response where it is later.
-    pub(super) fn later_of_response(&self, moment: Timestamp) -> Timestamp {
+    /// Start of the wait for the response of an attempt: the time it was sent, or the last response if that is later.
+    pub(super) fn wait_start(&self, sent_at: Timestamp) -> Timestamp {
         self.last_response_at
-            .map_or(moment, |response| moment.max(response))
+            .map_or(sent_at, |response| sent_at.max(response))
     }
 
-    /// Cost in flight from this node.
+    /// Cost of this node's attempts in flight.
     pub(super) fn in_flight_cost(&self) -> f64 {
         self.in_flight.iter().map(InFlightAttempt::cost).sum()
     }
 
-    /// Records an attempt that is sent. `slow_start`: how long the endpoint takes to warm up.
+    /// Records an attempt that is sent. `slow_start`: duration of slow start.
     pub(super) fn start_attempt(&mut self, attempt: InFlightAttempt, slow_start: TimeSpan) {
         self.awaits_first_attempt = false;
         if attempt.sent_at - self.slow_start_from < slow_start {
@@ -181,10 +179,10 @@
         self.in_flight.push(attempt);
     }
 
-    /// Takes an attempt out of those in flight.
+    /// Removes an attempt from those in flight and returns it.
     pub(super) fn finish(&mut self, request: RequestId, number: u32) -> Option<InFlightAttempt> {
-        let is_it = |attempt: &InFlightAttempt| attempt.number_of(request) == Some(number);
-        let position = self.in_flight.iter().position(is_it)?;
+        let matches = |attempt: &InFlightAttempt| attempt.number_for(request) == Some(number);
+        let position = self.in_flight.iter().position(matches)?;
         Some(self.in_flight.remove(position))
     }
 }
--- a/src/decision/endpoints/selection.rs
+++ b/src/decision/endpoints/selection.rs
@@ -1,8 +1,8 @@
 //! Endpoint selection: which endpoint gets an attempt.
 //!
-//! Each endpoint that may have the attempt gets a weight: subset, health, size and slow start over latency, zone and earlier
-//! attempts. Its score is the work in flight there over the weight. Some endpoints are drawn by weight, and one of those
-//! with the best score is taken.
+//! Each endpoint that may receive the attempt gets a weight: the product of subset, health, size and slow-start
+//! factors, divided by latency, zone and earlier-attempt factors. Its score is its work in flight divided by the
+//! weight. A number of endpoints is sampled by weight, and one of those with the best score is chosen.
 
 use applewall_node_types::TimeSpan;
 
@@ -16,60 +16,61 @@
 use crate::decision::latency::LatencyEstimator;
 use crate::decision::pending::PendingRequest;
 
-/// Factor on the score of endpoints in other zones: small, since crossing zones takes far less time than waiting.
+/// Factor on the score of endpoints in other zones: small, because crossing zones takes far less time than queueing.
 const OTHER_ZONE_FACTOR: f64 = 1.1;
-/// Factor on the score of endpoints that had an attempt of the request before.
+/// Factor on the score of endpoints that have already had an attempt of the request.
 const ATTEMPTED_FACTOR: f64 = 4.0;
 /// Scores within this factor of the best count as equal.
 const EQUAL_SCORES: f64 = 1.15;
-/// Weight of endpoints outside the subset.
+/// Minimum weight of endpoints outside the subset.
 const OUT_OF_SUBSET_WEIGHT: f64 = 0.002;
-/// Fraction of the subset that has to be usable; what is missing goes to the other endpoints.
+/// Fraction of the subset that must be usable; the weight of the other endpoints makes up for what is missing.
 const MIN_USABLE_FRACTION: f64 = 0.5;
-/// Endpoints drawn for each unit of own work in flight, beside the first one.
-const DRAWN_PER_WORK: f64 = 2.0;
-/// Smallest draw, whose logarithm is finite.
+/// Number of endpoints sampled per unit of this node's work in flight, in addition to the first one.
+const SAMPLES_PER_WORK_IN_FLIGHT: f64 = 2.0;
+/// Minimum random number, so that its logarithm is finite.
 const MIN_DRAW: f64 = 1e-12;
-/// Requests per objective that a fully started endpoint completes at least, where nothing is known.
+/// Minimum number of requests per objective that a fully started endpoint is assumed to complete while its throughput
+/// is unknown.
 const ASSUMED_THROUGHPUT: f64 = 6.0;
-/// Smallest number of effective endpoints that a throughput is computed with.
+/// Minimum number of effective endpoints that a throughput is computed with.
 const MIN_ENDPOINTS: f64 = 1e-9;
 
-/// The node's load, which selection reads.
+/// The node's load, as an input of selection.
 pub(crate) struct SelectionLoad<'a> {
     /// Learned latencies.
     pub latency: &'a LatencyEstimator,
     /// Time constant of the node's rates.
-    pub rate_memory: TimeSpan,
+    pub rate_time_constant: TimeSpan,
     /// Cost completed per second.
     pub completed_per_second: f64,
     /// Cost of the attempts that are not past their objective.
     pub work_in_flight: f64,
 }
 
-/// An endpoint that may have an attempt.
+/// An endpoint that may receive an attempt.
 struct Candidate {
     index: EndpointIndex,
     health_weight: f64,
     slow_start_fraction: f64,
 }
 
-/// A candidate with its score, the lower the better, and its position in a weighted draw.
+/// A candidate with its score (lower is better) and its key in the weighted sampling.
 struct ScoredCandidate {
     index: EndpointIndex,
     score: f64,
     draw: f64,
 }
 
-/// What the scores of all candidates have in common.
+/// Inputs shared by the scores of all candidates.
 struct ScoreContext {
     out_of_subset_weight: f64,
-    /// Work per second that this node sends a fully started endpoint; 0 where no candidate is in slow start.
+    /// Work per second that this node sends to a fully started endpoint; 0 if no candidate is in slow start.
     throughput_per_endpoint: f64,
 }
 
 impl EndpointTable {
-    /// Selects the endpoint for a request's next attempt, if one may have it. Draws.
+    /// Selects the endpoint for a request's next attempt, if any may receive it. Uses the random generator.
     pub(crate) fn select(
         &self,
         context: &mut Context<'_>,
@@ -84,7 +85,8 @@
             if !self.has_slow_start_budget(context, request, &candidate, &scores) {
                 continue;
             }
-            // Before all others, once: where few requests come, chance could pass it by for long.
+            // Takes precedence over all others for one attempt: with few requests, the random choice could skip it
+            // for a long time.
             if record.awaits_first_attempt {
                 return Some(candidate.index);
             }
@@ -102,8 +104,8 @@
         choose_among_best(context, scored, load.work_in_flight)
     }
 
-    /// Endpoints that take requests, and at which the attempt does no harm: an endpoint that does not share deduplication
-    /// with the one that may have executed the request would execute it again.
+    /// Endpoints that take requests and at which an attempt does no harm: an endpoint that does not share
+    /// deduplication with one that may have executed the request would execute it again.
     fn candidates(
         &self,
         context: &Context<'_>,
@@ -127,7 +129,8 @@
             .collect()
     }
 
-    /// The weight of endpoints outside the subset grows where little of the subset is usable.
+    /// Computes the shared inputs. The weight of endpoints outside the subset grows when little of the subset is
+    /// usable.
     fn score_context(
         &self,
         context: &Context<'_>,
@@ -154,11 +157,12 @@
         }
     }
 
-    /// Work per second that this node sends a fully started endpoint of its subset: what the subset completes now, over the
-    /// number of fully started endpoints that it amounts to.
+    /// Work per second that this node sends to a fully started endpoint of its subset: what the subset completes now,
+    /// divided by the number of fully started endpoints it is equivalent to.
     ///
-    /// Where little was completed yet, [`ASSUMED_THROUGHPUT`] divided over the nodes counts: a deployment whose endpoints are
-    /// all in slow start would otherwise reject every request, since it has completed nothing and so admits nothing.
+    /// While little has been completed, [`ASSUMED_THROUGHPUT`] divided by the number of nodes is the minimum.
+    /// Otherwise a deployment whose endpoints are all in slow start would reject every request, since it admits
+    /// nothing before it has completed something.
     fn throughput_per_endpoint(&self, context: &Context<'_>, completed_per_second: f64) -> f64 {
         let in_subset = |record: &&EndpointRecord| record.in_subset;
         let effective: f64 = self
@@ -175,7 +179,7 @@
         completed.max(ASSUMED_THROUGHPUT / objective / nodes_per_endpoint)
     }
 
-    /// False where an endpoint in slow start is not in this node's subset, or has used up its budget.
+    /// Returns false if the endpoint is in slow start and is not in this node's subset or has used up its budget.
     fn has_slow_start_budget(
         &self,
         context: &Context<'_>,
@@ -224,7 +228,8 @@
     }
 }
 
-/// Health weight of an endpoint: [`MIN_HEALTH_WEIGHT`] at least, and for one that is ejected or silent.
+/// Health weight of an endpoint, at least [`MIN_HEALTH_WEIGHT`], which is also the weight of an ejected or silent
+/// one.
 fn selection_health(
     context: &Context<'_>,
     request: &PendingRequest,
@@ -234,22 +239,22 @@
     if record.is_ejected_or_silent(context.now(), load.latency) {
         return MIN_HEALTH_WEIGHT;
     }
-    let health = HealthContext::new(context, load.rate_memory);
+    let health = HealthContext::new(context, load.rate_time_constant);
     record
         .health_weight(health, request.class(), request.plan())
         .max(MIN_HEALTH_WEIGHT)
 }
 
-/// Draws as many candidates by weight as there is work in flight, and takes one of the best.
+/// Samples candidates by weight, in proportion to the work in flight, and chooses one of the best.
 ///
-/// Own work in flight distinguishes endpoints only where there is some. If all candidates were compared without it, all nodes
-/// would choose the same few.
+/// This node's work in flight distinguishes endpoints only if there is enough of it. If all candidates were compared
+/// with little work in flight, all nodes would choose the same few.
 fn choose_among_best(
     context: &mut Context<'_>,
     mut scored: Vec<ScoredCandidate>,
     work_in_flight: f64,
 ) -> Option<EndpointIndex> {
-    let drawn = (DRAWN_PER_WORK * work_in_flight) as usize + 1;
+    let drawn = (SAMPLES_PER_WORK_IN_FLIGHT * work_in_flight) as usize + 1;
     if drawn < scored.len() {
         scored.select_nth_unstable_by(drawn, |left, right| left.draw.total_cmp(&right.draw));
         scored.truncate(drawn);
--- a/src/decision/endpoints/slow_start.rs
+++ b/src/decision/endpoints/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: the capacity of an endpoint that warms up, and how much of it this node may use, so that all nodes together
-//! do not overload it.
+//! Slow start: the capacity of an endpoint that is warming up, and how much of it this node may use, so that all
+//! nodes together do not overload it.
 
 use applewall_node_types::{TimeSpan, Timestamp};
 
@@ -9,34 +9,34 @@
 use crate::decision::ids::EndpointIndex;
 use crate::decision::overload::MONITOR_INTERVAL;
 
-/// Fraction of the budget that is used; the rest covers chance and other nodes.
+/// Fraction of the budget that is used; the rest is a margin for random variation and for other nodes.
 const USED_FRACTION: f64 = 0.7;
-/// Requests per window up to which the budget counts requests in place of their cost and age.
+/// Budget, in requests per window, below which requests are counted instead of their cost and age.
 const MAX_COUNTED_REQUESTS: f64 = 1.0;
-/// Fraction of a budget of few requests that is used: they come by chance.
-const USED_FRACTION_OF_FEW: f64 = 0.8;
-/// Fraction of a window's budget that is there at once: it is served within an objective.
+/// Fraction of a budget of few requests that is used, since their arrivals are random.
+const USED_FRACTION_OF_SMALL_BUDGET: f64 = 0.8;
+/// Fraction of a window's budget that is available at once: it is served within an objective.
 const INITIAL_FRACTION: f64 = 0.3;
-/// Windows of budget for an endpoint that was returned to service: it has to get its first attempt soon.
+/// Number of windows of budget for an endpoint returned to service, which has to get its first attempt soon.
 const RETURNED_WINDOWS: f64 = 2.0;
-/// Mean fraction of the attempts in a window that counts, since capacity is regained evenly.
+/// Mean fraction by which the attempts in a window count, since capacity is regained evenly.
 const MEAN_COUNTED_FRACTION: f64 = 0.5;
-/// Shortest slow start that a fraction is computed with.
+/// Minimum duration of slow start that a fraction is computed with.
 const MIN_SLOW_START: TimeSpan = TimeSpan::from_seconds(1e-9);
 
-/// What the budget of an endpoint in slow start is computed from.
+/// Inputs of the budget of an endpoint in slow start.
 #[derive(Clone, Copy)]
 pub(super) struct SlowStartLoad {
     /// Fraction of its capacity that the endpoint has now.
     pub(super) fraction: f64,
-    /// Work per second that this node sends a fully started endpoint.
+    /// Work per second that this node sends to a fully started endpoint.
     pub(super) throughput: f64,
     /// Cost of the request.
     pub(super) cost: f64,
 }
 
 impl EndpointRecord {
-    /// Fraction of its capacity that the endpoint has during slow start, 1 afterwards.
+    /// Fraction of its capacity that the endpoint has; 1 after slow start.
     pub(super) fn slow_start_fraction(&self, context: &Context<'_>) -> f64 {
         let span = context.slow_start_span().max(MIN_SLOW_START);
         let elapsed = ((context.now() - self.slow_start_from) / span).clamp(0.0, 1.0);
@@ -44,13 +44,15 @@
         initial + (1.0 - initial) * elapsed
     }
 
-    /// Requests of a cost that an endpoint in slow start can still take from this node; negative where none.
+    /// Number of requests of cost `load.cost` that an endpoint in slow start can still take from this node; negative
+    /// if none.
     ///
-    /// `budget = used fraction * overload multiple * slow-start fraction * throughput * window * known fraction / cost`, less
-    /// what the endpoint got in the window, less a fraction of a request that is drawn once per window: drawn with each
-    /// request, many requests would pass. An attempt counts by how late in the window it was sent, since capacity is
-    /// regained evenly, so half of the budget is compared with it on the mean. A process that has just started knows
-    /// nothing of an earlier one's attempts: most of its first window is available only with time.
+    /// The budget is `used fraction * overload multiple * slow-start fraction * throughput * window * available
+    /// fraction / cost`, less what the endpoint got within the window, less a fraction of a request drawn once per
+    /// window (if it were drawn per request, many requests would pass). An attempt counts by how late in the window
+    /// it was sent, since capacity is regained evenly; so on average it is compared with half of the budget. A
+    /// process that has just started does not know the attempts of an earlier one, so most of its first window
+    /// becomes available only over time.
     pub(super) fn remaining_budget(
         &self,
         context: &Context<'_>,
@@ -72,12 +74,14 @@
             USED_FRACTION * multiple * capacity_fraction * throughput * window.as_seconds();
         let budget = window_work * fraction / cost;
         if budget < MAX_COUNTED_REQUESTS {
-            return budget * USED_FRACTION_OF_FEW - draw - self.attempts_within(now, window);
+            return budget * USED_FRACTION_OF_SMALL_BUDGET
+                - draw
+                - self.attempts_within(now, window);
         }
         budget * MEAN_COUNTED_FRACTION - self.spent_work(now, window) / cost - draw
     }
 
-    /// The period of the draw, and the fraction of a window's budget that is available.
+    /// The period of the draw and the available fraction of a window's budget.
     fn available_window(&self, context: &Context<'_>, window: TimeSpan) -> (TimeSpan, f64) {
         if self.awaits_first_attempt {
             return (MONITOR_INTERVAL, RETURNED_WINDOWS);
@@ -95,7 +99,7 @@
             .count() as f64
     }
 
-    /// Cost of the recent attempts, each by the fraction of the window that is left of it.
+    /// Cost of the recent attempts, each scaled by its remaining fraction of the window.
     fn spent_work(&self, now: Timestamp, window: TimeSpan) -> f64 {
         self.recent_attempts
             .iter()
@@ -103,8 +107,8 @@
             .sum()
     }
 
-    /// Forgets attempts that are older than the window in which overload is counted.
-    pub(super) fn forget_attempts_before(&mut self, now: Timestamp, window: TimeSpan) {
+    /// Discards attempts that are older than the window in which overload is counted.
+    pub(super) fn expire_recent_attempts(&mut self, now: Timestamp, window: TimeSpan) {
         self.recent_attempts
             .retain(|attempt| now - attempt.sent_at < window);
     }
--- a/src/decision/endpoints/snapshot.rs
+++ b/src/decision/endpoints/snapshot.rs
@@ -1,4 +1,4 @@
-//! The form of the endpoints in the state snapshot.
+//! Encoding of the endpoints in the state snapshot.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,17 +11,18 @@
 use crate::api::{Endpoint, EndpointId};
 use crate::decision::ids::EndpointIndex;
 
-/// In the snapshot, the moment of something that has not happened.
+/// Timestamp in the snapshot of something that has not happened.
 const NEVER: Timestamp = Timestamp::from_seconds(0.0);
 
-/// An attempt during slow start, in the order of the state snapshot.
+/// An attempt during slow start, in the field order of the state snapshot.
 #[derive(Serialize, Deserialize)]
 struct RecentAttemptSnapshot {
     sent_at: Timestamp,
     cost: f64,
 }
 
-/// An endpoint without its attempts in flight, which are the other process's, in the order of the state snapshot.
+/// An endpoint without its attempts in flight, which stay with the other process, in the field order of the state
+/// snapshot.
 #[derive(Serialize, Deserialize)]
 struct EndpointSnapshot {
     endpoint: Endpoint,
@@ -38,7 +39,7 @@
     outcomes: OutcomeHistory,
 }
 
-/// The records and the index of each endpoint, in the order of the state snapshot.
+/// The records and the index of each endpoint, in the field order of the state snapshot.
 #[derive(Serialize, Deserialize)]
 pub(in crate::decision) struct EndpointsSnapshot {
     records: Vec<EndpointSnapshot>,
@@ -46,7 +47,7 @@
 }
 
 impl EndpointsSnapshot {
-    /// True where every index refers to a record, and outcomes are of so many classes and plans.
+    /// Returns true if every index refers to a record and all outcomes are for this number of classes and plans.
     pub(in crate::decision) fn is_consistent(&self, classes: usize, plans: usize) -> bool {
         let outcomes_are_consistent =
             |record: &EndpointSnapshot| record.outcomes.is_consistent(classes, plans);
@@ -55,12 +56,12 @@
     }
 }
 
-fn or_never(moment: Option<Timestamp>) -> Timestamp {
-    moment.unwrap_or(NEVER)
+fn encode_optional(timestamp: Option<Timestamp>) -> Timestamp {
+    timestamp.unwrap_or(NEVER)
 }
 
-fn unless_never(moment: Timestamp) -> Option<Timestamp> {
-    (moment > NEVER).then_some(moment)
+fn decode_optional(timestamp: Timestamp) -> Option<Timestamp> {
+    (timestamp > NEVER).then_some(timestamp)
 }
 
 impl From<&EndpointRecord> for EndpointSnapshot {
@@ -74,9 +75,9 @@
             slow_start_from: record.slow_start_from,
             awaits_first_attempt: record.awaits_first_attempt,
             latency_factor: record.latency_factor,
-            last_response_at: or_never(record.last_response_at),
+            last_response_at: encode_optional(record.last_response_at),
             consecutive_failures: record.consecutive_failures,
-            ejected_until: or_never(record.ejected_until),
+            ejected_until: encode_optional(record.ejected_until),
             recent_attempts: recent_attempts
                 .map(|attempt| RecentAttemptSnapshot {
                     sent_at: attempt.sent_at,
@@ -100,9 +101,9 @@
             awaits_first_attempt: snapshot.awaits_first_attempt,
             in_flight: Vec::new(),
             latency_factor: snapshot.latency_factor,
-            last_response_at: unless_never(snapshot.last_response_at),
+            last_response_at: decode_optional(snapshot.last_response_at),
             consecutive_failures: snapshot.consecutive_failures,
-            ejected_until: unless_never(snapshot.ejected_until),
+            ejected_until: decode_optional(snapshot.ejected_until),
             recent_attempts: recent_attempts
                 .map(|attempt| RecentAttempt {
                     sent_at: attempt.sent_at,
@@ -115,7 +116,7 @@
 }
 
 impl EndpointTable {
-    /// The endpoints for another process.
+    /// Returns the endpoints to transfer.
     pub(in crate::decision) fn to_snapshot(&self) -> EndpointsSnapshot {
         let (records, indexes, _) = self.parts();
         EndpointsSnapshot {
@@ -124,13 +125,13 @@
         }
     }
 
-    /// True where a list was received.
+    /// Whether a list was received.
     pub(in crate::decision) fn list_received(&self) -> bool {
         let (_, _, list_received) = self.parts();
         list_received
     }
 
-    /// Takes over another process's endpoints.
+    /// Takes over the endpoints of another process.
     pub(in crate::decision) fn take_over(
         &mut self,
         snapshot: EndpointsSnapshot,
--- a/src/decision/endpoints/subset.rs
+++ b/src/decision/endpoints/subset.rs
@@ -1,20 +1,21 @@
-//! Deterministic subsetting: in a large fleet each node sends to a subset of the endpoints, so that it
-//! has enough outcomes of each to judge by and few connections.
+//! Deterministic subsetting: in a large fleet each node sends to a subset of the endpoints, so that it gets enough
+//! outcomes from each of them and needs few connections.
 
 use super::table::EndpointTable;
 use crate::decision::context::Context;
 use crate::decision::hashing::{fingerprint, rendezvous_rank};
 
-/// Smallest number of endpoints in a node's subset.
+/// Minimum number of endpoints in a node's subset.
 const MIN_SUBSET_ENDPOINTS: u32 = 12;
-/// Nodes whose subsets hold an endpoint.
+/// Minimum number of nodes whose subsets contain an endpoint.
 const NODES_PER_ENDPOINT: u32 = 8;
 
 impl EndpointTable {
     /// Assigns this node's subset of the ready endpoints.
     ///
-    /// Nodes form rounds of as many as there are subsets; the nodes of a round divide all endpoints evenly between them,
-    /// each round in an order of its own (rendezvous hashing), so that a change of the list moves few endpoints.
+    /// Nodes are grouped into rounds of as many nodes as there are subsets. The nodes of a round divide all endpoints
+    /// evenly between them, each round in an order of its own (rendezvous hashing), so that a change of the list
+    /// moves few endpoints.
     pub(super) fn assign_subset(&mut self, context: &Context<'_>) {
         let records = &mut self.records;
         let mut ready: Vec<usize> = (0..records.len())
--- a/src/decision/endpoints/table.rs
+++ b/src/decision/endpoints/table.rs
@@ -1,4 +1,4 @@
-//! The table of endpoints: the endpoint list as discovery has it, and the records by index.
+//! The endpoint table: the endpoint list from discovery, and the records by index.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use crate::decision::ids::EndpointIndex;
 use crate::decision::pending::{PendingRequest, PendingRequests, PossibleExecution};
 
-/// An attempt that ended, and where it was sent.
+/// An attempt that has ended and the endpoint it was sent to.
 pub(crate) struct FinishedAttempt {
     /// The attempt.
     pub attempt: InFlightAttempt,
@@ -20,7 +20,7 @@
 }
 
 impl FinishedAttempt {
-    /// Where and when the request may have been executed.
+    /// The attempt as one that may have executed the request.
     pub(crate) fn possible_execution(&self) -> PossibleExecution {
         PossibleExecution::new(self.endpoint, self.attempt.sent_at())
     }
@@ -28,20 +28,20 @@
 
 /// All endpoints of the list.
 ///
-/// The policy's task alone reads and writes it: discovery's updates change the list, attempts that start and end change the
+/// Accessed only by the policy's task. Discovery updates change the list; starting and finishing attempts change the
 /// records.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     pub(super) records: Vec<EndpointRecord>,
     indexes: BTreeMap<EndpointId, EndpointIndex>,
-    /// This process, or the one that it took over from, has received a list.
+    /// Whether this process, or the one it took over from, has received a list.
     list_received: bool,
-    /// Share of its usual traffic that each zone gets. Zones beyond the end get all of theirs.
+    /// Share of its usual traffic that each zone gets; 1 for zones beyond the end.
     zone_shares: Vec<f64>,
 }
 
 impl EndpointTable {
-    /// Applies an endpoint list, or changes of one.
+    /// Applies an endpoint list or changes to it.
     pub(crate) fn update(
         &mut self,
         context: &Context<'_>,
@@ -55,13 +55,13 @@
                 record.is_removed = true;
             }
         }
-        // Known endpoints first: a new one must not get the index of one that is named further on.
+        // Known endpoints first: a new one must not reuse the index of an endpoint that appears later in the list.
         let is_known = |entry: &&Endpoint| self.indexes.contains_key(&entry.id);
         let (known, new): (Vec<_>, Vec<_>) = entries.iter().partition(is_known);
         for entry in known.into_iter().chain(new) {
             self.update_entry(context, pending, entry);
         }
-        // An empty list of an earlier process does not count: the endpoints of the first real list are not new.
+        // An empty cached list does not count: the endpoints of the first real list are not new.
         self.list_received |= kind == EndpointUpdateKind::Snapshot || !entries.is_empty();
         self.assign_subset(context);
     }
@@ -77,7 +77,7 @@
         self.records[index.0].update(entry, started_at);
     }
 
-    /// Adds a new endpoint. One that appears after the first list is taken to have just started.
+    /// Adds a new endpoint. One that appears after the first list is assumed to have just started.
     fn insert(
         &mut self,
         context: &Context<'_>,
@@ -100,8 +100,8 @@
         index
     }
 
-    /// The index of a removed endpoint that nothing refers to, else a new one. Otherwise the table would hold all endpoints
-    /// that there ever were, and every choice would go through them.
+    /// The index of a removed endpoint that nothing refers to, otherwise a new one. Without reuse, the table would
+    /// keep every endpoint that ever existed, and each selection would scan them all.
     fn free_index(&self, pending: &PendingRequests) -> EndpointIndex {
         let is_free = |index: &EndpointIndex| {
             let record = &self.records[index.0];
@@ -113,8 +113,8 @@
             .unwrap_or(EndpointIndex(self.records.len()))
     }
 
-    /// Applies the return of an endpoint from maintenance: it was restarted, so it is in slow start, and it is due an
-    /// attempt if it ever answered one.
+    /// Returns an endpoint from maintenance to service. It was restarted, so it is in slow start, and if it has ever
+    /// responded it is due a first attempt.
     pub(crate) fn return_to_service(
         &mut self,
         context: &Context<'_>,
@@ -145,12 +145,12 @@
         share.copied().unwrap_or(1.0)
     }
 
-    /// A record by its index.
+    /// Returns the record of an index.
     pub(super) fn record(&self, index: EndpointIndex) -> &EndpointRecord {
         &self.records[index.0]
     }
 
-    /// A record by its index, to change it.
+    /// Returns the record of an index for modification.
     pub(super) fn record_mut(&mut self, index: EndpointIndex) -> &mut EndpointRecord {
         &mut self.records[index.0]
     }
@@ -171,7 +171,7 @@
         self.ready().count()
     }
 
-    /// Number of fully started endpoints that the ready ones amount to, by their slow-start fractions.
+    /// Number of fully started endpoints that the ready ones are equivalent to, by their slow-start fractions.
     pub(crate) fn effective_count(&self, context: &Context<'_>) -> f64 {
         self.ready()
             .map(|record| record.slow_start_fraction(context))
@@ -192,28 +192,28 @@
         record.endpoint.id.clone()
     }
 
-    /// Takes an attempt that ended out of those in flight.
+    /// Removes an attempt that has ended from those in flight and returns it.
     pub(crate) fn finish_attempt(&mut self, result: &AttemptResult) -> Option<FinishedAttempt> {
         let endpoint = *self.indexes.get(&result.endpoint)?;
         let attempt = self.records[endpoint.0].finish(result.request, result.attempt)?;
         Some(FinishedAttempt { attempt, endpoint })
     }
 
-    /// Numbers of a request's attempts that are in flight at an endpoint.
+    /// Numbers of a request's attempts in flight at an endpoint.
     pub(crate) fn attempts_in_flight(
         &self,
         index: EndpointIndex,
         request: RequestId,
     ) -> impl Iterator<Item = u32> + '_ {
         let attempts = self.records[index.0].in_flight.iter();
-        attempts.filter_map(move |attempt| attempt.number_of(request))
+        attempts.filter_map(move |attempt| attempt.number_for(request))
     }
 
-    /// Forgets attempts that no longer count against slow-start budgets.
-    pub(crate) fn forget_old_attempts(&mut self, context: &Context<'_>) {
+    /// Discards attempts that no longer count against slow-start budgets.
+    pub(crate) fn expire_recent_attempts(&mut self, context: &Context<'_>) {
         let window = context.overload_window();
         for record in &mut self.records {
-            record.forget_attempts_before(context.now(), window);
+            record.expire_recent_attempts(context.now(), window);
         }
     }
 
@@ -227,7 +227,7 @@
         self.indexes.len() + self.records.len() + attempts
     }
 
-    /// The records, the index of each endpoint, and whether a list was received.
+    /// Returns the records, the index of each endpoint, and whether a list was received.
     pub(super) fn parts(
         &self,
     ) -> (
@@ -238,7 +238,7 @@
         (&self.records, &self.indexes, self.list_received)
     }
 
-    /// Replaces the endpoints by another process's; the zone shares stay.
+    /// Replaces the endpoints by those of another process; the zone shares stay.
     pub(super) fn replace(
         &mut self,
         records: Vec<EndpointRecord>,
@@ -250,7 +250,7 @@
         self.list_received = list_received;
     }
 
-    /// True where every index refers to one of so many records.
+    /// Returns true if every index is below `records`.
     pub(super) fn indexes_are_consistent(
         indexes: &BTreeMap<EndpointId, EndpointIndex>,
         records: usize,
--- a/src/decision/hashing.rs
+++ b/src/decision/hashing.rs
@@ -1,12 +1,13 @@
-//! Hash functions that all nodes of a fleet compute alike: what they rank and draw, they agree on without a message.
+//! Hash functions that give the same result at all nodes of a fleet, so that nodes agree on rankings and draws
+//! without messages.
 
 use applewall_node_types::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// Bits of a fingerprint, which is five digits of a gossip message.
+/// Mask of the 30 bits of a fingerprint: five base64 digits of a gossip message.
 const FINGERPRINT_MASK: u64 = 0x3fff_ffff;
 
-/// A customer's name as nodes exchange it.
+/// Hash of a customer's name, by which nodes refer to the customer in messages.
 #[derive(
     Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
@@ -14,13 +15,13 @@
 pub struct CustomerFingerprint(pub u32);
 
 impl CustomerFingerprint {
-    /// The fingerprint of a customer's name.
+    /// Computes the fingerprint of a customer's name.
     pub fn of(name: &str) -> Self {
         CustomerFingerprint(fingerprint(name))
     }
 }
 
-/// 30 bits of FNV-1a of a name.
+/// Hashes a name to 30 bits with FNV-1a.
 pub fn fingerprint(name: &str) -> u32 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x100_0000_01b3;
@@ -30,15 +31,15 @@
     ((hash ^ (hash >> 30)) & FINGERPRINT_MASK) as u32
 }
 
-/// Rank of a candidate for a name, for rendezvous hashing (highest random weight).
+/// Rank of a candidate for a name in rendezvous hashing (highest random weight).
 pub fn rendezvous_rank(name: u32, candidate: u32) -> u64 {
     let mixed = (u64::from(name) << 32 | u64::from(candidate)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ mixed >> 29).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed ^ mixed >> 32
 }
 
-/// A number from 0 to 1 that changes once per period, for a pair of an item and a node. Periods begin at another moment
-/// for each pair. `periods`: the present moment, in periods.
+/// A pseudorandom number from 0 to 1 for a pair of an item and a node, which changes once per period. The periods of
+/// different pairs begin at different times. `periods`: the current time, in periods.
 pub fn periodic_draw(item: u32, node: NodeId, periods: f64) -> f64 {
     let draw = |name, candidate| rendezvous_rank(name, candidate) as f64 / u64::MAX as f64;
     let period = (periods + draw(item, node.0)) as u32;
--- a/src/decision/latency.rs
+++ b/src/decision/latency.rs
@@ -1,58 +1,64 @@
-//! Learned latencies: of each kind of request, and of each machine type as a factor on those.
+//! Learned latencies: of each kind of request, and of each machine type as a factor.
 
 use applewall_node_types::TimeSpan;
 use serde::{Deserialize, Serialize};
 
 use crate::api::{ClassId, MachineTypeId};
 
-/// Size buckets, in units, that latencies are learned for separately: few, so that each gets many responses.
+/// Number of size buckets, in units, for which latencies are learned separately: few, so that each gets many
+/// responses.
 pub(crate) const SIZE_BUCKETS: usize = 4;
-/// Responses that the estimate of a broader group counts for beside a kind's own: the first few scatter widely.
+/// Weight, in responses, of the estimate of a broader group beside that of the request's own kind: the first few
+/// latencies of a kind vary widely.
 const PRIOR_RESPONSES: f64 = 2.0;
-/// Weight of one response in a learned latency, once a hundred are known.
+/// Weight of one response in a learned latency, once there are a hundred.
 const LATENCY_WEIGHT: f64 = 0.01;
-/// Fraction of that weight where the response is slower than known: time in an endpoint's queue is not the request's cost.
+/// Factor on that weight for a response that is slower than the estimate: time spent in an endpoint's queue is not
+/// part of the request's cost.
 const SLOWER_RESPONSE_FACTOR: f64 = 0.3;
-/// Responses that the assumption of a usual machine type counts for.
+/// Weight, in responses, of the assumption that a machine type has the usual latency.
 const MACHINE_TYPE_PRIOR: f64 = 10.0;
-/// Responses that the estimate of a machine type remembers at most.
+/// Maximum weight, in responses, of the estimate of a machine type, so that it keeps adapting.
 const MAX_MACHINE_TYPE_RESPONSES: f64 = 200.0;
-/// Shortest usual latency that others are compared with, so that nothing is divided by zero.
+/// Minimum usual latency in ratios, so that nothing is divided by zero.
 const MIN_LATENCY: TimeSpan = TimeSpan::from_seconds(1e-4);
-/// Smallest cost of a request, in requests of the mean.
+/// Minimum cost of a request, relative to that of a mean request.
 const MIN_COST: f64 = 0.1;
-/// Largest cost of a request, in requests of the mean.
+/// Maximum cost of a request, relative to that of a mean request.
 const MAX_COST: f64 = 10.0;
-/// Lowest relative deviation from the usual latency that one response can teach about a machine type.
+/// Lower bound of the relative deviation from the usual latency that one response contributes to a machine type's
+/// estimate.
 const MIN_MACHINE_DEVIATION: f64 = -0.9;
-/// Highest relative deviation from the usual latency that one response can teach about a machine type.
+/// Upper bound of the relative deviation from the usual latency that one response contributes to a machine type's
+/// estimate.
 const MAX_MACHINE_DEVIATION: f64 = 4.0;
 
-/// A class of requests and a bucket of sizes in units; latency is learned for each separately.
+/// A class of requests and a size bucket, for which latency is learned separately.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RequestKind(usize);
 
 impl RequestKind {
-    /// The kind of a request of a class that draws so many units.
+    /// The kind of a request of a class that draws `units` units.
     pub(crate) fn new(class: ClassId, units: f64) -> Self {
         let bucket = (units.round() as usize).clamp(1, SIZE_BUCKETS) - 1;
         RequestKind(class.0 * SIZE_BUCKETS + bucket)
     }
 
-    /// The first kind of its class.
+    /// Index of the first kind of its class.
     fn first_of_class(self) -> usize {
         self.0 / SIZE_BUCKETS * SIZE_BUCKETS
     }
 }
 
-/// An estimate and the number of responses that it rests on. The order of the fields is that of the state snapshot.
+/// An estimated mean and the number of responses it is based on. The order of the fields is part of the state
+/// snapshot's encoding.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct MeanEstimate {
     value: f64,
     responses: f64,
 }
 
-/// Mean of estimates, weighted by their responses; 0 where none is known.
+/// Mean of the estimates, weighted by their numbers of responses; 0 if there are none.
 fn weighted_mean(estimates: &[MeanEstimate]) -> f64 {
     let mut sum = 0.0;
     let mut responses = 0.0;
@@ -63,16 +69,16 @@
     sum / f64::max(responses, 1.0)
 }
 
-/// What responses taught about latency.
+/// Latencies learned from responses.
 pub(crate) struct LatencyEstimator {
     /// Latency of each kind of request, in seconds.
     by_kind: Vec<MeanEstimate>,
-    /// Latency of each machine type, as a multiple of the usual one.
+    /// Latency of each machine type, as a multiple of the usual latency.
     by_machine_type: Vec<MeanEstimate>,
 }
 
 impl LatencyEstimator {
-    /// An estimator without any response.
+    /// Creates an estimator without responses.
     pub(crate) fn new(classes: usize, machine_types: u32) -> Self {
         let usual = MeanEstimate {
             value: 1.0,
@@ -84,13 +90,13 @@
         }
     }
 
-    /// Mean latency over all kinds; zero while none is known.
+    /// Mean latency of all kinds; zero before the first response.
     pub(crate) fn mean(&self) -> TimeSpan {
         TimeSpan::from_seconds(weighted_mean(&self.by_kind))
     }
 
-    /// Usual latency of a kind of request. While few of its responses are known, it is mostly that of its class, or of all
-    /// requests.
+    /// Usual latency of a kind of request. While the kind has few responses, it is close to the mean of its class, or
+    /// of all requests if the class has none.
     pub(crate) fn usual(&self, kind: RequestKind) -> TimeSpan {
         let class = weighted_mean(&self.by_kind[kind.first_of_class()..][..SIZE_BUCKETS]);
         let broader = if class > 0.0 {
@@ -103,7 +109,8 @@
         TimeSpan::from_seconds(sum / (own.responses + PRIOR_RESPONSES))
     }
 
-    /// Cost of a kind of request, in requests of the mean. Before any response, all cost the same.
+    /// Cost of a kind of request, relative to that of a mean request. Before the first response, all kinds cost the
+    /// same.
     pub(crate) fn cost(&self, kind: RequestKind) -> f64 {
         let mean = self.mean();
         if mean > TimeSpan::ZERO {
@@ -113,17 +120,17 @@
         }
     }
 
-    /// Index of a machine type; unknown ones share the last.
+    /// Index of a machine type; unknown types share the last one.
     fn machine_index(&self, machine_type: MachineTypeId) -> usize {
         (machine_type.0 as usize).min(self.by_machine_type.len() - 1)
     }
 
-    /// Latency of a machine type, as a multiple of the usual one.
+    /// Latency of a machine type, as a multiple of the usual latency.
     pub(crate) fn machine_factor(&self, machine_type: MachineTypeId) -> f64 {
         self.by_machine_type[self.machine_index(machine_type)].value
     }
 
-    /// Learns from a response. `usual`: the latency that was expected of it.
+    /// Updates the estimates from a response. `usual`: the latency that was expected of it.
     pub(crate) fn record(
         &mut self,
         kind: RequestKind,
@@ -158,7 +165,7 @@
         machine.value += deviation * machine.value / responses;
     }
 
-    /// The estimates that a hot restart transfers: by kind, and by machine type.
+    /// Returns the estimates that a hot restart transfers.
     pub(super) fn to_snapshot(&self) -> LatencySnapshot {
         LatencySnapshot {
             by_kind: self.by_kind.clone(),
@@ -167,7 +174,7 @@
     }
 }
 
-/// The estimates of a [`LatencyEstimator`], in the order of the state snapshot.
+/// The estimates of a [`LatencyEstimator`], in the field order of the state snapshot.
 #[derive(Serialize, Deserialize)]
 pub(super) struct LatencySnapshot {
     by_kind: Vec<MeanEstimate>,
@@ -175,7 +182,7 @@
 }
 
 impl LatencySnapshot {
-    /// True where the estimates are of so many classes and machine types.
+    /// Returns true if there are estimates for this number of classes and machine types.
     pub(super) fn is_consistent(&self, classes: usize, machine_types: u32) -> bool {
         self.by_kind.len() == classes * SIZE_BUCKETS
             && self.by_machine_type.len() == machine_types.max(1) as usize
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,20 +1,23 @@
-//! The decisions of one node: which requests it admits, rejects, sends where, retries and gives up.
+//! Decision making of one node: which requests it admits, rejects, routes, retries and fails.
 //!
-//! Each component owns its state and decides by it; the others call its methods. [`DecisionPolicy`] holds the components and
-//! passes each event to them (`policy`).
+//! Each component owns its state; the others use it only through its methods. [`DecisionPolicy`] (`policy`) holds the
+//! components and dispatches each event to them.
 //!
 //! | component | owns | decides |
 //! | --- | --- | --- |
-//! | `quota` | customers' quotas, ceilings, demand and peers' use | what a customer's limits admit; reports, aggregates and grants that are due |
-//! | `overload` | the ladder of filters, load statistics, the pool | what load admits: backlog limit and ladder |
-//! | `endpoints` | the endpoint list, a record of each endpoint | which endpoint gets an attempt; health, ejection, slow start, subset |
-//! | `retry` | the retry budget | timeouts of attempts, retries, the final answer |
+//! | `quota` | customers' quotas, ceilings, demand and usage at peers | whether a customer's limits admit a request;
+//! which reports, aggregates and grants are due |
+//! | `overload` | the ladder of filters, load statistics, the pool | whether the load admits a request: backlog limit
+//! and ladder |
+//! | `endpoints` | the endpoint list and a record of each endpoint | which endpoint gets an attempt; health,
+//! ejection, slow start, subset |
+//! | `retry` | the retry budget | attempt timeouts, retries, the final answer |
 //! | `latency` | learned latencies | |
-//! | `pending` | requests without their final answer | |
+//! | `pending` | requests that have no final answer yet | |
 //!
-//! A request goes through `admission`, the endpoint's selection and `retry`. Every component gets the settings, the present
-//! moment and the random generator by its `context`. `snapshot` is the form that a hot restart transfers. Where each rule
-//! comes from: `docs/design.md`.
+//! A request passes through `admission`, endpoint selection and `retry`. Every component receives the settings, the
+//! current time and the random generator in a `Context`. `snapshot` is the encoding that a hot restart transfers.
+//! `docs/design.md` names the source of each rule.
 
 mod admission;
 mod context;
--- a/src/decision/overload/ladder.rs
+++ b/src/decision/overload/ladder.rs
@@ -1,8 +1,8 @@
 //! The ladder of filters: admission under load, after the QGuard paper (`docs/design.md`).
 //!
-//! Filter F0 admits all requests, the last one rejects all; those between admit a rate of cost that is split over the
-//! tiers. The filter in force changes by one step at most each sojourn, by the load index of the last intervals. The terms
-//! are those of the paper: filters F0 to Fn, load index, focal point, sojourn and lag.
+//! Filter F0 admits all requests and the last one rejects all; those in between admit a rate of cost that is split
+//! over the tiers. The filter in force changes by at most one step per sojourn, depending on the load index of the
+//! last intervals. The terms are those of the paper: filters F0 to Fn, load index, focal point, sojourn and lag.
 
 use std::collections::VecDeque;
 
@@ -18,61 +18,63 @@
 
 /// The last filter, which rejects all requests.
 const LAST_FILTER: usize = 7;
-/// Number of filters, F0 included.
+/// Number of filters, including F0.
 const FILTER_COUNT: usize = LAST_FILTER + 1;
-/// Intervals in the history (paper: 5 to 15).
+/// Number of intervals in the history (paper: 5 to 15).
 const HISTORY_INTERVALS: usize = 10;
-/// Overloaded intervals per underloaded one before tightening (paper: 3 to 6).
+/// Ratio of overloaded to underloaded intervals that is required for tightening (paper: 3 to 6).
 const OVERLOAD_MAJORITY: usize = 3;
-/// Overloaded intervals in the history before tightening: a single one can be chance.
+/// Minimum number of overloaded intervals in the history for tightening: a single one can be chance.
 const MIN_OVERLOADED_INTERVALS: usize = 2;
-/// Shortest sojourn between changes of the filter, per second of the rates' memory: a third of a history, so that the
-/// effect of a change can show.
+/// Minimum sojourn between changes of the filter, per second of the rates' time constant: a third of a history, so
+/// that the effect of a change can show.
 const MIN_SOJOURN: TimeSpan = TimeSpan::from_seconds(0.3);
-/// Longest memory of rates, in seconds, that stretches the shortest sojourn.
-const MAX_SOJOURN_MEMORY: f64 = 5.0;
-/// Time after which a change of the filter shows in pooled statistics: their memory and the requests in flight.
+/// Maximum time constant of rates, in seconds, that lengthens the minimum sojourn.
+const MAX_SOJOURN_TIME_CONSTANT: f64 = 5.0;
+/// Time after which a change of the filter shows in pooled statistics: their time constant plus the duration of the
+/// requests in flight.
 const POOL_LAG: TimeSpan = TimeSpan::from_seconds(2.0);
-/// Longest lag learned: an overload that lasts longer has another cause than the change of the filter.
+/// Maximum learned lag: an overload that lasts longer has another cause than the change of the filter.
 const MAX_LAG: TimeSpan = TimeSpan::from_seconds(4.0);
-/// Weight of the last overload in the learned lag.
+/// Weight of the latest overload in the learned lag.
 const LAG_WEIGHT: f64 = 0.5;
-/// Rate of the first filter that limits, in focal points.
+/// Rate of the first limiting filter, relative to the focal point.
 const MAX_FILTER_RATE: f64 = 1.15;
-/// Rate of the last filter that admits anything, in focal points.
+/// Rate of the last filter that admits anything, relative to the focal point.
 const MIN_FILTER_RATE: f64 = 0.35;
-/// Rate, in focal points, that a new ladder starts below, so that the backlog drains.
+/// Rate, relative to the focal point, at or below which a newly focused ladder starts, so that the backlog drains.
 const STARTING_RATE: f64 = 0.95;
 
-/// The filters, their history and the tiers' buckets. The order of the fields is that of the state snapshot.
+/// The filters, their history and the tiers' buckets. The order of the fields is part of the state snapshot's
+/// encoding.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Ladder {
     /// The filter in force; 0 admits all requests.
     filter: usize,
     /// Cost per second that each filter admits.
     filter_rates: Vec<f64>,
-    /// Throughput, in cost per second, that the filters are centered on.
+    /// Throughput, in cost per second, around which the filters are spread (the focal point).
     focal_rate: f64,
     /// Load index of each interval of the history, oldest first.
     load_indexes: VecDeque<i32>,
-    /// Outcomes of each interval of the history; the last one is still being counted.
+    /// Outcomes of each interval of the history; the last one is still in progress.
     interval_statistics: VecDeque<LoadStatistics>,
-    /// When the filter changed last.
+    /// When the filter last changed.
     switched_at: Timestamp,
-    /// Since when the index has been positive.
+    /// Start of the current overload: when the load index became positive.
     overload_since: Option<Timestamp>,
-    /// Learned time from the onset of an overload to its end.
+    /// Learned duration of an overload, from its onset to its end.
     lag: TimeSpan,
     /// Cost completed per second.
     completed: DecayingRate,
-    /// Time constant of the rates: short where many requests come, long where few do.
-    memory: TimeSpan,
+    /// Time constant of the rates: short at a high rate of requests, long at a low one.
+    time_constant: TimeSpan,
     tiers: Tiers,
 }
 
 impl Ladder {
-    /// A ladder with F0 in force.
-    pub(super) fn new(tiers: usize, memory: TimeSpan) -> Self {
+    /// Creates a ladder with F0 in force.
+    pub(super) fn new(tiers: usize, time_constant: TimeSpan) -> Self {
         Ladder {
             filter: 0,
             filter_rates: vec![0.0; FILTER_COUNT],
@@ -83,12 +85,13 @@
             overload_since: None,
             lag: TimeSpan::ZERO,
             completed: DecayingRate::default(),
-            memory,
+            time_constant,
             tiers: Tiers::new(tiers),
         }
     }
 
-    /// True where a ladder from a snapshot has so many tiers, the filters of this version, and a present interval.
+    /// Returns true if a ladder from a snapshot has `tiers` tiers, the filters of this version and a current
+    /// interval.
     pub(super) fn is_consistent(&self, tiers: usize) -> bool {
         self.tiers.len() == tiers
             && self.filter_rates.len() == FILTER_COUNT
@@ -96,38 +99,36 @@
             && !self.interval_statistics.is_empty()
     }
 
-    /// True while F0 is in force.
+    /// Returns true while F0 is in force.
     pub(super) fn admits_all(&self) -> bool {
         self.filter == 0
     }
 
-    /// Time constant of the rates.
-    pub(super) fn memory(&self) -> TimeSpan {
-        self.memory
+    pub(super) fn time_constant(&self) -> TimeSpan {
+        self.time_constant
     }
 
-    /// Sets the time constant of the rates.
-    pub(super) fn set_memory(&mut self, memory: TimeSpan) {
-        self.memory = memory;
+    pub(super) fn set_time_constant(&mut self, time_constant: TimeSpan) {
+        self.time_constant = time_constant;
     }
 
     /// Cost completed per second.
     pub(super) fn completed_per_second(&self, now: Timestamp) -> f64 {
-        self.completed.read(now, self.memory)
+        self.completed.read(now, self.time_constant)
     }
 
     /// Counts completed work.
     pub(super) fn record_completed(&mut self, now: Timestamp, cost: f64) {
-        self.completed.add(now, cost, self.memory);
+        self.completed.add(now, cost, self.time_constant);
     }
 
-    /// Mean priority weight of a unit of requested cost.
+    /// Mean priority weight per unit of requested cost.
     pub(super) fn mean_weight(&self, now: Timestamp) -> f64 {
-        self.tiers.mean_weight(now, self.memory)
+        self.tiers.mean_weight(now, self.time_constant)
     }
 
-    /// Counts a request and takes its cost from its tier's bucket; false where the filter in force rejects it. `draw`: from
-    /// 0 to 1.
+    /// Counts a request and takes its cost from its tier's bucket; returns false if the filter in force rejects it.
+    /// `draw`: a random number in [0, 1).
     pub(super) fn take_tokens(
         &mut self,
         now: Timestamp,
@@ -140,10 +141,10 @@
             _ => FilterMode::Limit,
         };
         self.tiers
-            .take_tokens(now, self.memory, request, mode, draw)
+            .take_tokens(now, self.time_constant, request, mode, draw)
     }
 
-    /// Outcomes of all intervals of the history.
+    /// Sum of the outcomes of all intervals of the history.
     pub(super) fn history(&self) -> LoadStatistics {
         self.interval_statistics
             .iter()
@@ -152,28 +153,29 @@
             })
     }
 
-    /// Counts outcomes in the present interval.
+    /// Counts outcomes in the current interval.
     pub(super) fn record(&mut self, statistics: &LoadStatistics) {
-        if let Some(present) = self.interval_statistics.back_mut() {
-            *present = present.plus(statistics, 1.0);
+        if let Some(current) = self.interval_statistics.back_mut() {
+            *current = current.plus(statistics, 1.0);
         }
     }
 
-    /// Ends a monitor interval, judged by the statistics `seen`. `is_pooled`: they hold peers' statistics, which lag.
+    /// Ends a monitor interval, which is evaluated by `statistics`. `is_pooled`: they include peers' statistics,
+    /// which lag.
     pub(super) fn end_interval(
         &mut self,
         now: Timestamp,
-        seen: &LoadStatistics,
+        statistics: &LoadStatistics,
         is_pooled: bool,
     ) -> Option<LogEvent> {
         self.tiers.refill(MONITOR_INTERVAL);
-        let load_index = load_index(seen);
+        let load_index = load_index(statistics);
         self.begin_interval(load_index);
-        self.learn_lag(now, load_index);
+        self.update_lag(now, load_index);
         let before = self.filter;
         self.change_filter(now, load_index, is_pooled);
         let rate = self.filter_rates[self.filter];
-        self.tiers.split_rate(now, self.memory, rate);
+        self.tiers.split_rate(now, self.time_constant, rate);
         if self.filter == before {
             return None;
         }
@@ -195,8 +197,8 @@
         }
     }
 
-    /// Learns how long an overload lasts once the ladder answers it.
-    fn learn_lag(&mut self, now: Timestamp, load_index: i32) {
+    /// Updates the learned duration of an overload once the ladder responds to it.
+    fn update_lag(&mut self, now: Timestamp, load_index: i32) {
         if load_index > 0 {
             self.overload_since.get_or_insert(now);
         } else if let Some(since) = self.overload_since.take_if(|_| load_index < 0) {
@@ -204,9 +206,13 @@
         }
     }
 
-    /// Tightens or loosens by one filter, if the sojourn has passed and the history calls for it.
+    /// Tightens or loosens by one filter if the sojourn has passed and the history requires it.
     fn change_filter(&mut self, now: Timestamp, load_index: i32, is_pooled: bool) {
-        let min_sojourn = MIN_SOJOURN * self.memory.as_seconds().min(MAX_SOJOURN_MEMORY);
+        let min_sojourn = MIN_SOJOURN
+            * self
+                .time_constant
+                .as_seconds()
+                .min(MAX_SOJOURN_TIME_CONSTANT);
         let sojourn = now - self.switched_at;
         if sojourn < min_sojourn {
             return;
@@ -219,8 +225,9 @@
         }
     }
 
-    /// The lag stretches only the sojourn before a tightening, as in the paper, since tightening too far is what it guards
-    /// against. Pooled statistics are late: the effect of the last change has to show in them first.
+    /// Minimum sojourn before a tightening. As in the paper, the lag lengthens only this one, since its purpose is to
+    /// prevent tightening too far. Pooled statistics lag, so the effect of the last change must be able to show in
+    /// them first.
     fn sojourn_before_tightening(&self, min_sojourn: TimeSpan, is_pooled: bool) -> TimeSpan {
         let stretched = if self.lag * 2.0 > min_sojourn {
             min_sojourn.max(self.lag / 2.0)
@@ -240,7 +247,8 @@
             && overloaded >= OVERLOAD_MAJORITY * underloaded
     }
 
-    /// True where the newer half of the history has a lower sum of indexes than the older half, or a negative one.
+    /// Returns true if the sum of load indexes of the history's newer half is negative or lower than that of the
+    /// older half.
     fn load_is_falling(&self) -> bool {
         let half = self.load_indexes.len() / 2;
         let older: i32 = self.load_indexes.iter().take(half).sum();
@@ -255,7 +263,7 @@
         }
     }
 
-    /// At a first overload, spreads the filters in even steps around the throughput (the focal point).
+    /// At the onset of an overload, spreads the filters in even steps around the throughput (the focal point).
     fn refocus(&mut self, now: Timestamp) {
         self.focal_rate = self.completed_per_second(now);
         let step = (MAX_FILTER_RATE - MIN_FILTER_RATE) / (LAST_FILTER - 2) as f64;
--- a/src/decision/overload/load_index.rs
+++ b/src/decision/overload/load_index.rs
@@ -1,18 +1,19 @@
-//! The load index of the QGuard paper: how overloaded the endpoints were in an interval, by the outcomes of attempts.
+//! The load index of the QGuard paper: the degree of overload of the endpoints in an interval, by the outcomes of
+//! attempts.
 
 use super::statistics::LoadStatistics;
 use crate::api::Outcome;
 
-/// Latency, in objectives, above which a response is a sign of overload.
+/// Latency, in objectives, above which a response signals overload.
 pub(super) const OVERLOAD_LATENCY: f64 = 0.45;
-/// Latency, in objectives, below which a response is a sign of underload.
+/// Latency, in objectives, below which a response signals underload.
 const UNDERLOAD_LATENCY: f64 = 0.30;
-/// Fraction of outcomes rejected, not connected or timed out above which an interval is overloaded.
+/// Fraction of rejected, unconnected or timed-out outcomes above which an interval is overloaded.
 const OVERLOAD_FAILURES: f64 = 0.05;
 
-/// The statistics of one outcome at a healthy endpoint. `relative_latency`: its latency, in objectives.
+/// Statistics of one outcome at a healthy endpoint. `relative_latency`: its latency, in objectives.
 ///
-/// A timeout that this node set below the objective is caused by one request's cost, so it does not count.
+/// A timeout shorter than the objective does not count: it results from the cost of one request.
 pub(crate) fn outcome_statistics(outcome: Outcome, relative_latency: f64) -> LoadStatistics {
     let count = |condition: bool| f64::from(u8::from(condition));
     let succeeded = outcome == Outcome::Success;
@@ -27,21 +28,23 @@
     }
 }
 
-/// The load index: +1 for each signal that shows overload (slow, rejected, timed out), -1 for each that shows underload.
-pub(super) fn load_index(seen: &LoadStatistics) -> i32 {
-    // Responses without failures: what some endpoints reject or lose is no evidence about the others' latency.
-    let responses = seen.outcomes - seen.rejected - seen.timed_out;
-    let is_mostly_fast = seen.fast * 2.0 >= responses;
-    // A lack of failures is a sign of underload only while queues are short; else it would cancel the latency's signal.
+/// The load index: +1 for each signal of overload (slow, rejected, timed out), -1 for each signal of underload.
+pub(super) fn load_index(statistics: &LoadStatistics) -> i32 {
+    // Only successful responses: outcomes that some endpoints reject or lose are no evidence about the latency of the
+    // others.
+    let responses = statistics.outcomes - statistics.rejected - statistics.timed_out;
+    let is_mostly_fast = statistics.fast * 2.0 >= responses;
+    // The absence of failures signals underload only while queues are short; otherwise it would cancel the latency
+    // signal.
     let signal = |is_overload: bool, is_underload: bool| {
         i32::from(is_overload) - i32::from(is_mostly_fast && is_underload && !is_overload)
     };
     let failure_signal = |count: f64| {
         signal(
-            count > (OVERLOAD_FAILURES * seen.outcomes).max(1.0),
-            count <= OVERLOAD_FAILURES / 2.0 * seen.outcomes,
+            count > (OVERLOAD_FAILURES * statistics.outcomes).max(1.0),
+            count <= OVERLOAD_FAILURES / 2.0 * statistics.outcomes,
         )
     };
-    let latency_signal = signal(seen.slow * 2.0 > responses, true);
-    failure_signal(seen.rejected) + failure_signal(seen.timed_out) + latency_signal
+    let latency_signal = signal(statistics.slow * 2.0 > responses, true);
+    failure_signal(statistics.rejected) + failure_signal(statistics.timed_out) + latency_signal
 }
--- a/src/decision/overload/mod.rs
+++ b/src/decision/overload/mod.rs
@@ -1,8 +1,8 @@
-//! Overload control: the ladder of filters, the load that it is judged by, and the limit on the backlog.
+//! Overload control: the ladder of filters, the load statistics it is driven by, and the backlog limit.
 //!
-//! [`OverloadControl`] owns the ladder (`ladder`, `tiers`), the statistics that nodes of a large fleet pool (`pool`) and the
-//! rate of arriving requests. Outcomes of attempts come in as [`LoadStatistics`]; each monitor interval they are judged
-//! (`load_index`) and may move the ladder by one filter.
+//! [`OverloadControl`] owns the ladder (`ladder`, `tiers`), the statistics that the nodes of a large fleet pool
+//! (`pool`) and the rate of arriving requests. Outcomes of attempts are passed in as [`LoadStatistics`]. Once per
+//! monitor interval, a load index is computed from them (`load_index`), which may move the ladder by one filter.
 
 mod backlog;
 mod ladder;
@@ -27,19 +27,19 @@
 use load_index::OVERLOAD_LATENCY;
 use pool::LoadPool;
 
-/// Interval at which the load is judged: holds a few outcomes at tens of requests a second.
+/// Interval at which the load is evaluated. It contains a few outcomes at tens of requests per second.
 pub(crate) const MONITOR_INTERVAL: TimeSpan = TimeSpan::from_seconds(0.1);
-/// Shortest memory of rates, where many outcomes come.
-const RATE_MEMORY: TimeSpan = TimeSpan::from_seconds(1.0);
-/// Longest memory of rates, where few outcomes come.
-const MAX_RATE_MEMORY: TimeSpan = TimeSpan::from_seconds(6.0);
-/// Outcomes that a history must hold to be judged without the pool.
+/// Minimum time constant of rates, at a high rate of outcomes.
+const RATE_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(1.0);
+/// Maximum time constant of rates, at a low rate of outcomes.
+const MAX_RATE_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(6.0);
+/// Number of outcomes that a history needs to be evaluated without the pool.
 const ENOUGH_OUTCOMES: f64 = 20.0;
-/// Largest factor by which a pool is scaled up to enough outcomes, so that a few outcomes do not decide.
+/// Maximum factor by which a pool is scaled up to enough outcomes, so that a few outcomes do not decide.
 const MAX_POOL_SCALING: f64 = 4.0;
-/// Fraction of timed-out work that counts as completed: it may have been executed, or lost.
+/// Fraction of timed-out work that counts as completed: it may have been executed or lost.
 const TIMED_OUT_FRACTION: f64 = 0.5;
-/// Lowest rate that a memory is computed with, in requests per second.
+/// Minimum arrival rate, in requests per second, that a time constant is computed with.
 const MIN_ARRIVAL_RATE: f64 = 1e-9;
 
 /// The ladder, the pooled load and the rate of arriving requests.
@@ -51,19 +51,19 @@
 }
 
 impl OverloadControl {
-    /// Overload control for so many pairs of plan and class, with F0 in force.
+    /// Creates overload control for `tiers` pairs of plan and class, with F0 in force.
     pub(crate) fn new(tiers: usize) -> Self {
         OverloadControl {
-            ladder: Ladder::new(tiers, RATE_MEMORY),
+            ladder: Ladder::new(tiers, RATE_TIME_CONSTANT),
             pool: LoadPool::default(),
             arrivals: DecayingRate::default(),
         }
     }
 
-    /// Counts a request that arrived, and returns the requests per second.
+    /// Counts an arriving request and returns the requests per second.
     pub(crate) fn record_arrival(&mut self, now: Timestamp) -> f64 {
-        self.arrivals.add(now, 1.0, RATE_MEMORY);
-        self.arrivals.read(now, RATE_MEMORY)
+        self.arrivals.add(now, 1.0, RATE_TIME_CONSTANT);
+        self.arrivals.read(now, RATE_TIME_CONSTANT)
     }
 
     /// Counts work requested within quotas.
@@ -71,8 +71,8 @@
         self.pool.record_requested(cost);
     }
 
-    /// Counts work that an attempt completed. A timeout counts for a fraction: an endpoint that fails has lost the work,
-    /// which is no lack of capacity; an overloaded one may still do it, which is.
+    /// Counts work that an attempt completed. A timeout counts for a fraction: an endpoint that has failed lost the
+    /// work, which does not mean a lack of capacity, but an overloaded one may still execute it, which does.
     pub(crate) fn record_completed(&mut self, now: Timestamp, outcome: Outcome, cost: f64) {
         match outcome {
             Outcome::Success => {
@@ -90,7 +90,7 @@
         self.pool.record(statistics);
     }
 
-    /// Decides whether a request is shed because of the backlog. May draw.
+    /// Decides whether the backlog limit sheds a request. May use the random generator.
     pub(crate) fn decide_backlog_shedding(
         &self,
         context: &mut Context<'_>,
@@ -101,8 +101,8 @@
         backlog::decide_shedding(context, &self.ladder, &self.pool, class, request, backlog)
     }
 
-    /// Counts a request in its tier and takes its cost from the tier's bucket; false where the filter in force rejects it.
-    /// Draws.
+    /// Counts a request in its tier and takes its cost from the tier's bucket; returns false if the filter in force
+    /// rejects it. Uses the random generator.
     pub(crate) fn take_tier_tokens(
         &mut self,
         context: &mut Context<'_>,
@@ -112,14 +112,14 @@
         self.ladder.take_tokens(context.now(), request, draw)
     }
 
-    /// True while no filter limits the rate.
+    /// Returns true while no filter limits the rate.
     pub(crate) fn admits_all(&self) -> bool {
         self.ladder.admits_all()
     }
 
-    /// Time constant of rates: short where many requests come, long where few do.
-    pub(crate) fn rate_memory(&self) -> TimeSpan {
-        self.ladder.memory()
+    /// Time constant of rates: short at a high rate of requests, long at a low one.
+    pub(crate) fn rate_time_constant(&self) -> TimeSpan {
+        self.ladder.time_constant()
     }
 
     /// Cost completed per second.
@@ -127,12 +127,12 @@
         self.ladder.completed_per_second(now)
     }
 
-    /// Queueing time of what is sent now, as a fraction of the shortest objective.
+    /// Queueing time of a request sent now, as a fraction of the shortest objective.
     pub(crate) fn relative_queueing_time(&self, context: &Context<'_>) -> f64 {
         self.pool.queueing_time() / context.shortest_objective()
     }
 
-    /// Ends a monitor interval: judges its load, and changes the filter by one step at most.
+    /// Ends a monitor interval: evaluates its load and moves the ladder by at most one filter.
     pub(crate) fn end_interval(
         &mut self,
         context: &Context<'_>,
@@ -142,22 +142,23 @@
         let now = context.now();
         self.pool
             .end_interval(work_in_flight, effective_endpoints, context.age());
-        let requests_per_second = self.arrivals.read(now, RATE_MEMORY);
+        let requests_per_second = self.arrivals.read(now, RATE_TIME_CONSTANT);
         let enough =
             TimeSpan::from_seconds(ENOUGH_OUTCOMES / requests_per_second.max(MIN_ARRIVAL_RATE));
         self.ladder
-            .set_memory(enough.clamp(RATE_MEMORY, MAX_RATE_MEMORY));
-        let seen = self.statistics_seen(context);
+            .set_time_constant(enough.clamp(RATE_TIME_CONSTANT, MAX_RATE_TIME_CONSTANT));
+        let statistics = self.effective_statistics(context);
         self.ladder
-            .end_interval(now, &seen, context.is_large_fleet())
+            .end_interval(now, &statistics, context.is_large_fleet())
     }
 
-    /// The statistics that the ladder is judged by: this node's history, and in a large fleet the pool for what is missing
-    /// to [`ENOUGH_OUTCOMES`], since one node's few outcomes are chance.
+    /// The statistics that drive the ladder: this node's history and, in a large fleet, a fraction of the pool that
+    /// makes up for the outcomes missing to [`ENOUGH_OUTCOMES`], since the few outcomes of one node are mostly
+    /// chance.
     ///
-    /// The pool lags, hence the longer sojourn; and its ratios of before could hold the ladder closed, hence the bound on
-    /// its scaling.
-    fn statistics_seen(&self, context: &Context<'_>) -> LoadStatistics {
+    /// The pool lags, which is why the sojourn is longer with it. Its ratios from before a change could hold the
+    /// ladder closed, which is why its scaling is bounded.
+    fn effective_statistics(&self, context: &Context<'_>) -> LoadStatistics {
         let own = self.ladder.history();
         if !context.is_large_fleet() {
             return own;
@@ -167,21 +168,21 @@
             return LoadStatistics::default();
         }
         let missing = (ENOUGH_OUTCOMES - own.outcomes).max(0.0);
-        let seen = own.plus(
+        let combined = own.plus(
             received,
             (missing / received.outcomes).min(MAX_POOL_SCALING),
         );
-        // Work in flight over capacity is the wait of what is sent now (Little's law). Where it is short, slow responses
-        // and timeouts come from an earlier backlog, and the ladder must not tighten for it.
+        // Work in flight divided by capacity is the wait of a request sent now (Little's law). While it is short,
+        // slow responses and timeouts stem from an earlier backlog, and the ladder must not tighten because of them.
         if self.relative_queueing_time(context) < OVERLOAD_LATENCY {
             return LoadStatistics {
                 slow: 0.0,
                 timed_out: 0.0,
-                fast: seen.outcomes,
-                ..seen
+                fast: combined.outcomes,
+                ..combined
             };
         }
-        seen
+        combined
     }
 
     /// Adds a peer's statistics.
@@ -189,7 +190,7 @@
         self.pool.receive(now, statistics);
     }
 
-    /// Takes out the statistics that go to a peer.
+    /// Takes the statistics to send to a peer.
     pub(crate) fn take_outgoing_statistics(&mut self) -> LoadStatistics {
         self.pool.take_outgoing()
     }
--- a/src/decision/overload/pool.rs
+++ b/src/decision/overload/pool.rs
@@ -1,42 +1,45 @@
-//! Load statistics that the nodes of a large fleet pool, since each of them has too few outcomes to judge by.
+//! Load statistics pooled by the nodes of a large fleet, since each of them has too few outcomes of its own.
 
 use applewall_node_types::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 
 use super::statistics::LoadStatistics;
-use super::{MONITOR_INTERVAL, RATE_MEMORY};
+use super::{MONITOR_INTERVAL, RATE_TIME_CONSTANT};
 use crate::decision::decaying_rate::DecayingRate;
 
-/// Recent messages from which on the pool counts as more than one peer's.
+/// Rate of recent messages from which on the pool counts as representing more than one peer.
 const MIN_POOLED_MESSAGES: f64 = 1.0;
-/// Memory of pooled statistics: about as long as the ladder's history.
-const POOL_MEMORY: TimeSpan = TimeSpan::from_seconds(1.0);
-/// Memory of the highest capacity: longer than endpoints take to recover from an overload, shorter than a lasting loss.
-const CAPACITY_MEMORY: TimeSpan = TimeSpan::from_seconds(20.0);
+/// Time constant of pooled statistics: about the length of the ladder's history.
+const POOL_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(1.0);
+/// Time constant with which the known capacity falls: longer than endpoints take to recover from an overload, shorter
+/// than a lasting loss of capacity.
+const CAPACITY_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(20.0);
 /// Fraction of the pool that is sent to a peer; the rest stays, so that nothing is counted twice.
 const SENT_FRACTION: f64 = 0.5;
-/// Intervals that one message may count for; a message with more is scaled down, so that no peer outweighs the others.
+/// Maximum number of intervals that one message may count for. Larger messages are scaled down, so that no peer
+/// outweighs the others.
 const MAX_MESSAGE_INTERVALS: f64 = 30.0;
-/// Ratio of slow and fast responses to all outcomes beyond which a message is malformed; above 1 since the encoding rounds.
+/// Maximum ratio of slow and fast responses to all outcomes in a well-formed message; above 1, because the encoding
+/// rounds.
 const MAX_RESPONSE_RATIO: f64 = 1.1;
-/// Smallest number that a ratio is computed with.
+/// Minimum divisor of ratios.
 const MIN_DIVISOR: f64 = 1e-9;
 
 /// The pool of one node.
 ///
-/// The policy's task alone reads and writes it: outcomes and requests here add to what is sent, peers' messages to what is
-/// sent on and to what is judged by.
+/// Accessed only by the policy's task. Local outcomes and requests add to the outgoing statistics; peers' messages
+/// add to the outgoing statistics and to those that the load is evaluated by.
 #[derive(Default)]
 pub(super) struct LoadPool {
-    /// What this node passes on with its next message: its own statistics and those that it received.
+    /// Statistics that this node passes on with its next message: its own and those it received.
     outgoing: LoadStatistics,
-    /// What peers sent, aged.
+    /// Statistics received from peers, with exponential decay.
     received: LoadStatistics,
-    /// Rate of messages received lately.
+    /// Rate of received messages.
     messages: DecayingRate,
     /// Work per second that one fully started endpoint is known to complete for this node.
     capacity_per_endpoint: f64,
-    /// Number of fully started endpoints that the ready ones amount to, by their slow-start fractions.
+    /// Number of fully started endpoints that the ready ones are equivalent to, by their slow-start fractions.
     effective_endpoints: f64,
 }
 
@@ -56,33 +59,33 @@
         self.outgoing = self.outgoing.plus(statistics, 1.0);
     }
 
-    /// Ends a monitor interval: ages the pool, counts the work in flight, and follows the capacity.
+    /// Ends a monitor interval: decays the pool, counts the work in flight and updates the capacity.
     pub(super) fn end_interval(&mut self, in_flight: f64, effective_endpoints: f64, age: TimeSpan) {
-        let decay = MONITOR_INTERVAL.decay(POOL_MEMORY);
+        let decay = MONITOR_INTERVAL.decay(POOL_TIME_CONSTANT);
         self.outgoing = self.outgoing.scaled(decay);
         self.received = self.received.scaled(decay);
         self.outgoing.intervals += 1.0;
         self.outgoing.in_flight += in_flight;
         self.effective_endpoints = effective_endpoints;
-        self.follow_capacity(age);
+        self.update_capacity(age);
     }
 
-    /// Follows the work that an endpoint completes. A rise is followed at once, a fall slowly: overloaded endpoints complete
-    /// less than they can.
-    fn follow_capacity(&mut self, age: TimeSpan) {
+    /// Updates the work that an endpoint is known to complete. A rise is followed quickly and a fall slowly, because
+    /// overloaded endpoints complete less than their capacity.
+    fn update_capacity(&mut self, age: TimeSpan) {
         let per_interval = self.received.completed / self.received.intervals.max(1.0);
         let completed =
             per_interval / MONITOR_INTERVAL.as_seconds() / self.effective_endpoints.max(1.0);
-        let memory = if completed > self.capacity_per_endpoint {
-            RATE_MEMORY.min(age).max(MONITOR_INTERVAL)
+        let time_constant = if completed > self.capacity_per_endpoint {
+            RATE_TIME_CONSTANT.min(age).max(MONITOR_INTERVAL)
         } else {
-            CAPACITY_MEMORY
+            CAPACITY_TIME_CONSTANT
         };
         self.capacity_per_endpoint +=
-            (completed - self.capacity_per_endpoint) * (MONITOR_INTERVAL / memory);
+            (completed - self.capacity_per_endpoint) * (MONITOR_INTERVAL / time_constant);
     }
 
-    /// Adds a peer's statistics. A message that contradicts itself is dropped.
+    /// Adds a peer's statistics. An inconsistent message is dropped.
     pub(super) fn receive(&mut self, now: Timestamp, statistics: &LoadStatistics) {
         let responses = statistics.slow + statistics.fast;
         let is_consistent =
@@ -93,38 +96,38 @@
         let weight = (MAX_MESSAGE_INTERVALS / statistics.intervals.max(MIN_DIVISOR)).min(1.0);
         self.outgoing = self.outgoing.plus(statistics, weight);
         self.received = self.received.plus(statistics, weight);
-        self.messages.add(now, 1.0, RATE_MEMORY);
+        self.messages.add(now, 1.0, RATE_TIME_CONSTANT);
     }
 
-    /// Takes out the fraction of the pool that goes to a peer.
+    /// Takes the fraction of the pool to send to a peer.
     pub(super) fn take_outgoing(&mut self) -> LoadStatistics {
         self.outgoing = self.outgoing.scaled(SENT_FRACTION);
         self.outgoing
     }
 
-    /// What peers sent, aged.
+    /// Statistics received from peers, with exponential decay.
     pub(super) fn received(&self) -> &LoadStatistics {
         &self.received
     }
 
-    /// True where more than one peer's messages came lately.
+    /// Returns true if messages of more than one peer were received recently.
     pub(super) fn has_recent_messages(&self, now: Timestamp) -> bool {
-        self.messages.read(now, RATE_MEMORY) >= MIN_POOLED_MESSAGES
+        self.messages.read(now, RATE_TIME_CONSTANT) >= MIN_POOLED_MESSAGES
     }
 
-    /// Work per second that the endpoints complete for one node. It is computed from the number of endpoints that are
-    /// ready and how far they have started, since a measured total shows a loss of endpoints too late.
+    /// Work per second that the endpoints complete for one node. Computed from the number of ready endpoints and the
+    /// progress of their slow starts, since a measured total would show a loss of endpoints too late.
     pub(super) fn capacity(&self) -> f64 {
         self.capacity_per_endpoint * self.effective_endpoints
     }
 
-    /// Time that the work in flight in the fleet takes at the known capacity (Little's law).
+    /// Time that the fleet's work in flight takes at the known capacity (Little's law).
     pub(super) fn queueing_time(&self) -> TimeSpan {
         let in_flight = self.received.in_flight_per_interval();
         TimeSpan::from_seconds(in_flight / self.capacity().max(MIN_DIVISOR))
     }
 
-    /// The pool for another process.
+    /// Returns the pool to transfer.
     pub(super) fn to_snapshot(&self) -> PoolSnapshot {
         PoolSnapshot {
             messages: self.messages,
@@ -135,7 +138,7 @@
         }
     }
 
-    /// The pool of another process.
+    /// Restores the pool of another process.
     pub(super) fn from_snapshot(snapshot: PoolSnapshot) -> Self {
         LoadPool {
             outgoing: snapshot.outgoing,
@@ -147,7 +150,7 @@
     }
 }
 
-/// A [`LoadPool`] in the order of the state snapshot.
+/// A [`LoadPool`] in the field order of the state snapshot.
 #[derive(Serialize, Deserialize)]
 pub(super) struct PoolSnapshot {
     messages: DecayingRate,
--- a/src/decision/overload/snapshot.rs
+++ b/src/decision/overload/snapshot.rs
@@ -1,4 +1,4 @@
-//! The form of overload control in the state snapshot.
+//! Encoding of overload control in the state snapshot.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,19 +7,19 @@
 use super::OverloadControl;
 use crate::decision::decaying_rate::DecayingRate;
 
-/// The ladder, whose fields have the order of the state snapshot.
+/// The ladder, with its fields in the order of the state snapshot.
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub(in crate::decision) struct LadderSnapshot(Ladder);
 
 impl LadderSnapshot {
-    /// True where the ladder has so many tiers and the filters of this version.
+    /// Returns true if the ladder has `tiers` tiers and the filters of this version.
     pub(in crate::decision) fn is_consistent(&self, tiers: usize) -> bool {
         self.0.is_consistent(tiers)
     }
 }
 
-/// Arriving requests and pooled statistics, in the order of the state snapshot.
+/// Rate of arriving requests and pooled statistics, in the field order of the state snapshot.
 #[derive(Serialize, Deserialize)]
 pub(in crate::decision) struct LoadSnapshot {
     arrivals: DecayingRate,
@@ -27,12 +27,12 @@
 }
 
 impl OverloadControl {
-    /// The ladder for another process.
+    /// Returns the ladder to transfer.
     pub(in crate::decision) fn ladder_snapshot(&self) -> LadderSnapshot {
         LadderSnapshot(self.ladder.clone())
     }
 
-    /// Arriving requests and pooled statistics for another process.
+    /// Returns the rate of arriving requests and the pooled statistics to transfer.
     pub(in crate::decision) fn load_snapshot(&self) -> LoadSnapshot {
         LoadSnapshot {
             arrivals: self.arrivals,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The overload control of another process.
+    /// Restores the overload control of another process.
     pub(in crate::decision) fn from_snapshots(ladder: LadderSnapshot, load: LoadSnapshot) -> Self {
         OverloadControl {
             ladder: ladder.0,
--- a/src/decision/overload/statistics.rs
+++ b/src/decision/overload/statistics.rs
@@ -1,10 +1,11 @@
-//! Counts of attempt outcomes: of one monitor interval, or pooled over peers.
+//! Counts of attempt outcomes in one monitor interval, or pooled over peers.
 
 use serde::{Deserialize, Serialize};
 
-/// Counts of outcomes and of work, for the load index and the backlog limit: of one interval, or summed and aged.
+/// Counts of outcomes and of work, used by the load index and the backlog limit. They cover one interval, or are sums
+/// with exponential decay.
 ///
-/// The order of the fields is that of the state snapshot.
+/// The order of the fields is part of the state snapshot's encoding.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadStatistics {
     /// Outcomes at healthy endpoints.
@@ -13,11 +14,11 @@
     pub slow: f64,
     /// Responses whose latency, as a fraction of the objective, is below the underload threshold.
     pub fast: f64,
-    /// Attempts rejected by the endpoint, or not connected.
+    /// Attempts rejected by the endpoint, or that could not connect.
     pub rejected: f64,
-    /// Attempts timed out.
+    /// Attempts that timed out.
     pub timed_out: f64,
-    /// Monitor intervals summed up.
+    /// Number of monitor intervals in the sums.
     pub intervals: f64,
     /// Work in flight, summed over the intervals.
     pub in_flight: f64,
@@ -28,7 +29,7 @@
 }
 
 impl LoadStatistics {
-    /// These with others added, each multiplied by a weight.
+    /// Returns the sum of these counts and `other`, scaled by `weight`.
     #[must_use]
     pub fn plus(&self, other: &LoadStatistics, weight: f64) -> Self {
         LoadStatistics {
@@ -44,13 +45,13 @@
         }
     }
 
-    /// These, each multiplied by a weight.
+    /// Returns the counts scaled by `weight`.
     #[must_use]
     pub fn scaled(&self, weight: f64) -> Self {
         LoadStatistics::default().plus(self, weight)
     }
 
-    /// Mean work in flight at an interval.
+    /// Mean work in flight per interval.
     pub(super) fn in_flight_per_interval(&self) -> f64 {
         self.in_flight / self.intervals.max(1.0)
     }
--- a/src/decision/overload/tiers.rs
+++ b/src/decision/overload/tiers.rs
@@ -1,4 +1,4 @@
-//! The tiers of the ladder: token buckets by plan and class, and how a filter's rate is split over them.
+//! The tiers of the ladder: a token bucket per plan and class, and the split of a filter's rate over them.
 
 use applewall_node_types::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -7,22 +7,22 @@
 use crate::decision::context::Context;
 use crate::decision::decaying_rate::DecayingRate;
 
-/// Fraction of a tier's demand that every filter but the last leaves it.
+/// Fraction of its demand that every filter but the last guarantees a tier.
 const MIN_TIER_FRACTION: f64 = 0.1;
-/// Capacity of a tier's bucket, in time at its rate: lets bursts that arise by chance pass.
+/// Capacity of a tier's bucket, as a duration at its rate, so that random bursts pass.
 const BUCKET_DEPTH: TimeSpan = TimeSpan::from_seconds(0.3);
-/// Smallest capacity of a tier's bucket, in cost: one request of the mean.
+/// Minimum capacity of a tier's bucket, in cost: one mean request.
 const MIN_BUCKET_CAPACITY: f64 = 1.0;
-/// Weight of one request in the mean priority weight of its tier.
+/// Smoothing factor of a tier's mean priority weight, per request.
 const WEIGHT_SMOOTHING: f64 = 0.05;
-/// Fraction of a tier's demand from which on it counts as satisfied in the split: rounding leaves it a little short.
+/// Fraction of its demand at which a tier counts as satisfied in the split, to allow for rounding.
 const SATISFIED_FRACTION: f64 = 0.999;
-/// Lowest rate that is split further, in cost per second: the rest is rounding.
+/// Minimum rate, in cost per second, that is split further; anything less is a rounding error.
 const MIN_DIVISIBLE_RATE: f64 = 1e-6;
-/// Smallest demand that a mean is computed with, in cost per second.
+/// Minimum demand, in cost per second, that a mean is computed with.
 const MIN_DEMAND: f64 = 1e-9;
 
-/// Index of a tier: a plan and a class.
+/// Index of a tier, which is a pair of a plan and a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TierId(usize);
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A request as the ladder and the backlog limit weigh it.
+/// A request with the quantities that the ladder and the backlog limit use.
 #[derive(Clone, Copy)]
 pub(crate) struct WeightedRequest {
     tier: TierId,
@@ -42,35 +42,40 @@
 }
 
 impl WeightedRequest {
-    /// `cost`: in requests of the mean. `weight`: its priority weight.
+    /// `cost`: relative to a mean request. `weight`: the priority weight.
     pub(crate) fn new(tier: TierId, cost: f64, weight: f64) -> Self {
         WeightedRequest { tier, cost, weight }
     }
 
-    /// Priority weight of a unit of cost.
+    /// Priority weight per unit of cost.
     pub(super) fn weight_per_cost(&self) -> f64 {
         self.weight / self.cost
     }
 }
 
-/// The token bucket of one plan and class. The order of the fields is that of the state snapshot.
+/// The token bucket of one plan and class. The order of the fields is part of the state snapshot's encoding.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Tier {
     /// Cost requested per second.
     demand: DecayingRate,
-    /// Mean priority weight of a unit of cost.
+    /// Mean priority weight per unit of cost.
     weight_per_cost: f64,
-    /// Cost that may pass now.
+    /// Cost that can be admitted now.
     tokens: f64,
-    /// Cost per second that fills the bucket.
+    /// Refill rate, in cost per second.
     tokens_per_second: f64,
-    /// Cost requested since the start.
+    /// Total cost requested since the start.
     requested_cost: f64,
 }
 
 impl Tier {
-    fn record_request(&mut self, now: Timestamp, memory: TimeSpan, request: WeightedRequest) {
-        self.demand.add(now, request.cost, memory);
+    fn record_request(
+        &mut self,
+        now: Timestamp,
+        time_constant: TimeSpan,
+        request: WeightedRequest,
+    ) {
+        self.demand.add(now, request.cost, time_constant);
         let weight_per_cost = request.weight_per_cost();
         let is_first = self.requested_cost == 0.0;
         self.weight_per_cost = if is_first {
@@ -88,49 +93,48 @@
     }
 }
 
-/// What the filter in force lets a tier's bucket do.
+/// What the filter in force lets pass.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum FilterMode {
     /// Admits every request (F0).
     AdmitAll,
-    /// Admits what the buckets let pass.
+    /// Admits requests as far as the buckets have tokens.
     Limit,
     /// Rejects every request (the last filter).
     RejectAll,
 }
 
-/// The buckets of all tiers, by plan, then class.
+/// The buckets of all tiers, ordered by plan, then class.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(super) struct Tiers(Vec<Tier>);
 
 impl Tiers {
-    /// Empty buckets.
+    /// Creates empty buckets.
     pub(super) fn new(count: usize) -> Self {
         Tiers(vec![Tier::default(); count])
     }
 
-    /// Number of tiers.
     pub(super) fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Counts a request, and takes its cost from its tier's bucket where the filter limits the rate. False where the
-    /// request is rejected.
+    /// Counts a request and, if the filter limits the rate, takes its cost from its tier's bucket. Returns false if
+    /// the request is rejected.
     ///
-    /// `draw`, from 0 to 1, rounds the bucket at random: of buckets smaller than a request, a fraction of requests pass.
-    /// While all requests are admitted it is the bucket's level: full at the same moment, the buckets of hundreds of nodes
-    /// would let a wave pass when the first filter comes into force.
+    /// `draw`, in [0, 1), dithers the comparison, so that a bucket smaller than a request still admits a fraction of
+    /// the requests. While all requests are admitted, it sets the bucket's level: if the buckets of hundreds of nodes
+    /// were all full when the first filter comes into force, they would admit a burst together.
     pub(super) fn take_tokens(
         &mut self,
         now: Timestamp,
-        memory: TimeSpan,
+        time_constant: TimeSpan,
         request: WeightedRequest,
         mode: FilterMode,
         draw: f64,
     ) -> bool {
         let tier = &mut self.0[request.tier.0];
-        tier.record_request(now, memory, request);
+        tier.record_request(now, time_constant, request);
         match mode {
             FilterMode::AdmitAll => {
                 tier.tokens = draw * request.cost;
@@ -144,26 +148,26 @@
         }
     }
 
-    /// Adds the tokens of a time span to all buckets.
+    /// Refills all buckets by the tokens of a duration.
     pub(super) fn refill(&mut self, span: TimeSpan) {
         for tier in &mut self.0 {
             tier.refill(span);
         }
     }
 
-    /// Splits a rate over the tiers, max-min fair: minimums first, then by priority weight and demand; what one tier does
-    /// not need goes to the others.
-    pub(super) fn split_rate(&mut self, now: Timestamp, memory: TimeSpan, rate: f64) {
+    /// Splits a rate over the tiers by max-min fairness: first the guaranteed minimums, then by priority weight and
+    /// demand. What one tier does not need goes to the others.
+    pub(super) fn split_rate(&mut self, now: Timestamp, time_constant: TimeSpan, rate: f64) {
         let demand: Vec<f64> = self
             .0
             .iter()
-            .map(|tier| tier.demand.read(now, memory))
+            .map(|tier| tier.demand.read(now, time_constant))
             .collect();
         let total: f64 = demand.iter().sum();
         let minimum = MIN_TIER_FRACTION.min(rate / total.max(MIN_DEMAND));
         let mut rates: Vec<f64> = demand.iter().map(|demand| demand * minimum).collect();
         for _ in 0..self.0.len() {
-            self.divide_rest(rate, &demand, &mut rates);
+            self.distribute_remainder(rate, &demand, &mut rates);
         }
         let tiers = self.0.len().max(1) as f64;
         let spare = (rate - rates.iter().sum::<f64>()).max(0.0) / tiers;
@@ -172,29 +176,29 @@
         }
     }
 
-    /// One round of the split: the rest goes to the tiers whose demand is not met.
-    fn divide_rest(&self, rate: f64, demand: &[f64], rates: &mut [f64]) {
-        let rest = rate - rates.iter().sum::<f64>();
+    /// One round of the split: distributes the remaining rate to the tiers whose demand is not met.
+    fn distribute_remainder(&self, rate: f64, demand: &[f64], rates: &mut [f64]) {
+        let remainder = rate - rates.iter().sum::<f64>();
         let is_unsatisfied = |i: &usize| rates[*i] < demand[*i] * SATISFIED_FRACTION;
         let unsatisfied: Vec<usize> = (0..rates.len()).filter(is_unsatisfied).collect();
         let weight_of = |i: usize| self.0[i].weight_per_cost * demand[i];
         let total_weight: f64 = unsatisfied.iter().map(|i| weight_of(*i)).sum();
-        let is_divisible = rest > MIN_DIVISIBLE_RATE && total_weight > 0.0;
+        let is_divisible = remainder > MIN_DIVISIBLE_RATE && total_weight > 0.0;
         if !is_divisible {
             return;
         }
         for i in unsatisfied {
-            let more = rest * self.0[i].weight_per_cost * demand[i] / total_weight;
+            let more = remainder * self.0[i].weight_per_cost * demand[i] / total_weight;
             rates[i] = (rates[i] + more).min(demand[i]);
         }
     }
 
-    /// Mean priority weight of a unit of requested cost.
-    pub(super) fn mean_weight(&self, now: Timestamp, memory: TimeSpan) -> f64 {
+    /// Mean priority weight per unit of requested cost.
+    pub(super) fn mean_weight(&self, now: Timestamp, time_constant: TimeSpan) -> f64 {
         let mut total_demand = 0.0;
         let mut total_weight = 0.0;
         for tier in &self.0 {
-            let demand = tier.demand.read(now, memory);
+            let demand = tier.demand.read(now, time_constant);
             total_demand += demand;
             total_weight += demand * tier.weight_per_cost;
         }
--- a/src/decision/pending.rs
+++ b/src/decision/pending.rs
@@ -1,4 +1,4 @@
-//! Requests that still wait for their final answer.
+//! Requests that have no final answer yet.
 
 use std::collections::BTreeMap;
 
@@ -18,52 +18,52 @@
 }
 
 impl PossibleExecution {
-    /// An attempt by its endpoint and the moment at which it was sent.
+    /// Creates the record of an attempt.
     pub(crate) fn new(endpoint: EndpointIndex, sent_at: Timestamp) -> Self {
         PossibleExecution { endpoint, sent_at }
     }
 
-    /// Its endpoint.
+    /// The endpoint that may have executed the request.
     pub(crate) fn endpoint(&self) -> EndpointIndex {
         self.endpoint
     }
 
-    /// When it was sent.
+    /// When the attempt was sent.
     pub(crate) fn sent_at(&self) -> Timestamp {
         self.sent_at
     }
 }
 
-/// What admission found out about a request.
+/// Results of the admission of a request.
 pub(crate) struct AdmittedRequest {
     /// Fingerprint of its customer.
     pub customer: CustomerFingerprint,
-    /// Its kind, by which latency is learned.
+    /// Its kind, for which latencies are learned.
     pub kind: RequestKind,
-    /// Cost of an attempt, in requests of the mean.
+    /// Cost of an attempt, relative to that of a mean request.
     pub cost: f64,
-    /// Counted against the quota, not paid for beyond it.
+    /// Whether it counts against the quota; otherwise it is paid for beyond the quota.
     pub within_quota: bool,
 }
 
-/// A request that still waits for its final answer.
+/// A request that has no final answer yet.
 pub(crate) struct PendingRequest {
     class: ClassId,
     plan: PlanId,
     units: f64,
     admitted: AdmittedRequest,
-    /// When the client gives up.
+    /// When the client's deadline expires.
     deadline: Timestamp,
     /// Number of attempts sent.
     attempts: u32,
-    /// When the present attempt was sent.
+    /// When the last attempt was sent.
     sent_at: Timestamp,
     possible_execution: Option<PossibleExecution>,
     attempted_endpoints: Vec<EndpointIndex>,
 }
 
 impl PendingRequest {
-    /// An admitted request without an attempt.
+    /// Creates the record of an admitted request that has no attempt yet.
     pub(crate) fn new(now: Timestamp, request: &Request, admitted: AdmittedRequest) -> Self {
         PendingRequest {
             class: request.class,
@@ -98,17 +98,17 @@
         self.admitted.customer
     }
 
-    /// Its kind, by which latency is learned.
+    /// Its kind, for which latencies are learned.
     pub(crate) fn kind(&self) -> RequestKind {
         self.admitted.kind
     }
 
-    /// Cost of an attempt, in requests of the mean.
+    /// Cost of an attempt, relative to that of a mean request.
     pub(crate) fn cost(&self) -> f64 {
         self.admitted.cost
     }
 
-    /// True where it counts against the quota.
+    /// Returns true if it counts against the quota.
     pub(crate) fn is_within_quota(&self) -> bool {
         self.admitted.within_quota
     }
@@ -118,34 +118,34 @@
         self.attempts
     }
 
-    /// Time until the client gives up.
+    /// Time until the client's deadline.
     pub(crate) fn time_left(&self, now: Timestamp) -> TimeSpan {
         self.deadline - now
     }
 
-    /// The first attempt that may have executed it.
+    /// The first attempt that may have executed it, if any.
     pub(crate) fn possible_execution(&self) -> Option<PossibleExecution> {
         self.possible_execution
     }
 
-    /// True where an endpoint had an attempt of it.
+    /// Returns true if the endpoint has had an attempt of it.
     pub(crate) fn was_attempted_at(&self, endpoint: EndpointIndex) -> bool {
         self.attempted_endpoints.contains(&endpoint)
     }
 
-    /// The endpoints that had an attempt of it, in order.
+    /// The endpoints that have had an attempt of it, in the order of the attempts.
     pub(crate) fn attempted_endpoints(&self) -> &[EndpointIndex] {
         &self.attempted_endpoints
     }
 
-    /// Counts an attempt that is sent.
+    /// Records an attempt that is sent.
     pub(crate) fn record_attempt(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         self.attempts += 1;
         self.sent_at = now;
         self.attempted_endpoints.push(endpoint);
     }
 
-    /// Records that an attempt may have executed it; the first such attempt counts.
+    /// Records an attempt that may have executed the request; only the first one is kept.
     pub(crate) fn record_possible_execution(&mut self, execution: PossibleExecution) {
         self.possible_execution.get_or_insert(execution);
     }
@@ -163,20 +163,20 @@
         self.requests.insert(id, request);
     }
 
-    /// Takes out a request.
+    /// Removes and returns a request.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
         self.requests.remove(&id)
     }
 
-    /// Removes the deadline of a request whose streamed response began: the client waits for as long as it goes on.
+    /// Removes the deadline of a request whose streamed response has begun: the client waits until the stream ends.
     pub(crate) fn remove_deadline(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.deadline = Timestamp::DISTANT_FUTURE;
         }
     }
 
-    /// Cost of the attempts that are not past their objective. Later ones are lost to the client and must not fill the
-    /// backlog.
+    /// Cost of the attempts that are not past their latency objective. Later responses are useless to the client and
+    /// must not count towards the backlog.
     pub(crate) fn work_in_flight(&self, context: &Context<'_>) -> f64 {
         self.requests
             .values()
@@ -187,14 +187,13 @@
             .sum()
     }
 
-    /// True where a request had an attempt at an endpoint.
+    /// Returns true if any request has had an attempt at the endpoint.
     pub(crate) fn refer_to(&self, endpoint: EndpointIndex) -> bool {
         self.requests
             .values()
             .any(|request| request.was_attempted_at(endpoint))
     }
 
-    /// Number of requests.
     pub(crate) fn len(&self) -> usize {
         self.requests.len()
     }
--- a/src/decision/policy/hot_restart.rs
+++ b/src/decision/policy/hot_restart.rs
@@ -1,4 +1,4 @@
-//! Hot restart: handing the state over to a new process, taking it over, and going on where the new process failed.
+//! Hot restart: handing the state over to a new process, taking it over, and resuming if the new process fails.
 
 use super::DecisionPolicy;
 use crate::api::Plan;
@@ -6,16 +6,17 @@
 use crate::decision::retry::RetryBudget;
 use crate::decision::snapshot::{Snapshot, SnapshotError, SnapshotShape};
 
-/// Fraction of a ceiling's rate that this process has after it handed over: practically none, but a plan without a rate
-/// has no ceiling at all.
+/// Fraction of a ceiling's rate that this process keeps after it has handed over. Practically none, but not 0, since
+/// a plan whose rate is 0 has no ceiling at all.
 const RETAINED_CEILING_RATE: f64 = 1e-3;
 
 impl DecisionPolicy {
-    /// Hands the state over. From here on this process has only its fraction of each ceiling's units, and no rate.
+    /// Hands the state over. From then on this process has only its fraction of each ceiling's units and practically
+    /// no refill rate.
     ///
     /// # Errors
     ///
-    /// The state can't be encoded.
+    /// Returns an error if the state cannot be encoded.
     pub fn export_snapshot(&mut self) -> Result<Vec<u8>, SnapshotError> {
         let now = self.clock.last_event_at();
         let components = &mut self.components;
@@ -36,10 +37,10 @@
         snapshot.encode()
     }
 
-    /// The process that was to take over has failed: this one goes on by itself, with what it has left.
+    /// Resumes after the process that was to take over has failed, with the units that are left here.
     ///
-    /// It counts as started now. What came in the meantime went to the other process, and a customer that is not known here
-    /// may have spent all there.
+    /// The policy counts as started now: requests went to the other process in the meantime, and a customer that is
+    /// unknown here may have spent all its units there.
     pub fn resume(&mut self) {
         let now = self.clock.last_event_at();
         self.components.quotas.resume(now, &self.settings.plans);
@@ -47,11 +48,11 @@
         self.scale_ceiling_rates(|rate| rate / RETAINED_CEILING_RATE);
     }
 
-    /// Goes on where another process left off.
+    /// Takes over the state of another process.
     ///
     /// # Errors
     ///
-    /// The snapshot is malformed or of other settings; nothing is changed then.
+    /// Returns an error and changes nothing if the snapshot is malformed or was written with other settings.
     pub fn import_snapshot(&mut self, bytes: &[u8]) -> Result<(), SnapshotError> {
         let snapshot = Snapshot::decode(bytes, SnapshotShape::from(&self.settings))?;
         let components = &mut self.components;
--- a/src/decision/policy/mod.rs
+++ b/src/decision/policy/mod.rs
@@ -1,8 +1,8 @@
-//! The decision policy: its components, and the way of each event through them.
+//! The decision policy: its components and how each event is dispatched to them.
 //!
-//! A request is recorded in the quota ledger, admitted or rejected, and gets an attempt at a selected endpoint. The end of an
-//! attempt teaches latency, load and the endpoint's health, and is the final answer or is followed by a retry. The monitor
-//! timer judges the load and sends the gossip that is due.
+//! A request is recorded in the quota ledger, admitted or rejected, and sent as an attempt to a selected endpoint.
+//! The end of an attempt updates the estimates of latency, load and endpoint health, and either completes the request
+//! or is followed by a retry. The monitor timer evaluates the load and sends the gossip that is due.
 
 mod hot_restart;
 
@@ -29,10 +29,10 @@
 use crate::gossip::codec::Record;
 use crate::gossip::Gossip;
 
-/// Log events that a process may write.
+/// Maximum number of log events that one process writes.
 const MAX_LOG_EVENTS: u32 = 60;
 
-/// The decision policy of one node: events in, actions out. It does no I/O and reads no clock.
+/// The decision policy of one node: events in, actions out. It performs no I/O and reads no clock.
 pub struct DecisionPolicy {
     settings: PolicySettings,
     rng: SmallRng,
@@ -40,7 +40,7 @@
     components: Components,
 }
 
-/// The components of the policy. Each owns its state; nothing here reads or writes it but by their methods.
+/// The components of the policy. Each owns its state, which is accessed only through its methods.
 struct Components {
     quotas: QuotaLedger,
     overload: OverloadControl,
@@ -55,7 +55,7 @@
 }
 
 impl DecisionPolicy {
-    /// The policy of a node that starts now.
+    /// Creates the policy of a node that starts now.
     pub fn new(settings: PolicySettings, seed: u64, now_ns: u64) -> Self {
         let now = Timestamp::from_nanoseconds(now_ns);
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Applies one event; what is to be done is appended to `actions`.
+    /// Applies one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now_ns: u64, event: Event, actions: &mut Vec<Action>) {
         let now = Timestamp::from_nanoseconds(now_ns);
         let is_first_event = self.clock.advance(now);
@@ -120,12 +120,12 @@
             .send_due_reports(context, &mut components.quotas, actions);
     }
 
-    /// Takes the counts of requests rejected since the last call.
+    /// Returns the counts of requests rejected since the last call and resets them.
     pub fn take_rejection_counts(&mut self) -> RejectionCounts {
         std::mem::take(&mut self.components.rejections)
     }
 
-    /// Number of entries of all kinds in the policy: it is bounded, however many customers and endpoints come and
+    /// Number of entries in all tables of the policy. It is bounded, however many customers and endpoints come and
     /// go.
     pub fn entry_count(&self) -> usize {
         let components = &self.components;
@@ -153,7 +153,7 @@
     ) {
         let customer = CustomerFingerprint::of(&request.customer);
         let requests_per_second = self.overload.record_arrival(context.now());
-        self.retry_budget.earn(requests_per_second);
+        self.retry_budget.deposit(requests_per_second);
         self.quotas.record_request(context, customer, request);
         match self.admit_and_send(context, customer, request, actions) {
             Err(rejection) => {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Sends a request's next attempt, if an endpoint may have it.
+    /// Sends a request's next attempt; returns false if no endpoint can take it.
     fn send_attempt(
         &mut self,
         context: &mut Context<'_>,
@@ -201,7 +201,7 @@
     ) -> bool {
         let load = SelectionLoad {
             latency: &self.latency,
-            rate_memory: self.overload.rate_memory(),
+            rate_time_constant: self.overload.rate_time_constant(),
             completed_per_second: self.overload.completed_per_second(context.now()),
             work_in_flight: self.pending.work_in_flight(context),
         };
@@ -220,7 +220,7 @@
         true
     }
 
-    /// What follows from the end of an attempt: what it teaches, and the final answer or another attempt.
+    /// Handles the end of an attempt: updates the estimates, then completes the request or sends another attempt.
     fn attempt_finished(
         &mut self,
         context: &mut Context<'_>,
@@ -231,7 +231,7 @@
         let Some(finished) = self.endpoints.finish_attempt(result) else {
             return;
         };
-        self.learn(context, has_just_resumed, &finished, result);
+        self.update_estimates(context, has_just_resumed, &finished, result);
         let Some(mut request) = self.pending.remove(result.request) else {
             return;
         };
@@ -250,8 +250,9 @@
         actions.push(final_failure(context, result.request, &request));
     }
 
-    /// Learns from the end of an attempt. One that was never sent, or was cancelled, is no evidence about its endpoint.
-    fn learn(
+    /// Updates the estimates from the end of an attempt. An attempt that was cancelled or never sent is no evidence
+    /// about its endpoint.
+    fn update_estimates(
         &mut self,
         context: &Context<'_>,
         has_just_resumed: bool,
@@ -264,11 +265,11 @@
         if has_just_resumed || !outcome.is_evidence() {
             return;
         }
-        let rate_memory = self.overload.rate_memory();
+        let rate_time_constant = self.overload.rate_time_constant();
         let statistics = self.endpoints.record_outcome(
             context,
             &mut self.latency,
-            rate_memory,
+            rate_time_constant,
             finished,
             result,
         );
@@ -279,7 +280,7 @@
             .apply_outlier_detection(context, finished, outcome);
     }
 
-    /// Replaces the estimated units of a request by those that the response settled.
+    /// Replaces the estimated units of a request by those that the response reports.
     fn settle(&mut self, context: &Context<'_>, request: &PendingRequest, result: &AttemptResult) {
         let Some(settled_units) = result.settled_units.filter(|units| *units > 0.0) else {
             return;
@@ -291,7 +292,7 @@
         }
     }
 
-    /// Sends another attempt, if the request may have one and the budget has a token for it.
+    /// Sends another attempt if the request may have one and the retry budget has a token for it.
     fn retry(
         &mut self,
         context: &mut Context<'_>,
@@ -305,12 +306,12 @@
             && self.retry_budget.has_token()
             && self.send_attempt(context, result.request, request, actions);
         if is_retried {
-            self.retry_budget.take();
+            self.retry_budget.withdraw();
         }
         is_retried
     }
 
-    /// Cancels what is in flight for a client that has disconnected.
+    /// Cancels the attempts in flight of a client that has disconnected.
     fn client_disconnected(
         &mut self,
         context: &Context<'_>,
@@ -349,7 +350,7 @@
         self.watch.updated();
     }
 
-    /// Each monitor interval: judges the load, sends the gossip that is due, and forgets what is no longer needed.
+    /// Runs once per monitor interval: evaluates the load, sends the gossip that is due and discards expired state.
     fn monitor(&mut self, context: &mut Context<'_>, actions: &mut Vec<Action>) {
         actions.push(set_timer(MONITOR_INTERVAL, MONITOR_TIMER));
         let work_in_flight = self.pending.work_in_flight(context);
@@ -363,13 +364,13 @@
                 actions.push(Action::Log(event));
             }
         }
-        self.endpoints.forget_old_attempts(context);
+        self.endpoints.expire_recent_attempts(context);
         self.gossip
             .send_due_round(context, &mut self.quotas, &mut self.overload, actions);
-        self.quotas.forget_idle(context);
+        self.quotas.evict_idle(context);
     }
 
-    /// Applies a peer's message; one that is malformed in any part changes nothing.
+    /// Applies a peer's message. A message that is malformed in any part changes nothing.
     fn peer_message(
         &mut self,
         context: &mut Context<'_>,
@@ -390,7 +391,7 @@
         }
     }
 
-    /// As a customer's aggregator, sends its nodes the sum where what they were sent last no longer holds.
+    /// As a customer's aggregator, sends its nodes the aggregate if the one sent last is outdated.
     fn send_due_aggregate(
         &mut self,
         context: &Context<'_>,
--- a/src/decision/quota/aggregate.rs
+++ b/src/decision/quota/aggregate.rs
@@ -1,23 +1,24 @@
-//! An aggregator's sum of a customer's demand over all its nodes, and when it has to be sent.
+//! An aggregator's sum of a customer's demand over all its nodes, and the criterion for sending it.
 
 use applewall_node_types::{TimeSpan, Timestamp};
 
 use super::messages::AggregateUpdate;
-use super::{DEBT_HORIZON, RATE_MEMORY};
+use super::{DEBT_HORIZON, RATE_TIME_CONSTANT};
 use crate::api::Plan;
 
-/// How long a receiver relies on an aggregate. Its sender repeats one that still holds after [`REPEAT_INTERVAL`], three
-/// times in that time.
+/// How long a receiver relies on an aggregate. The sender repeats one that is still valid every [`REPEAT_INTERVAL`],
+/// which is three times in this period.
 pub(super) const LIFETIME: TimeSpan = TimeSpan::from_seconds(20.0);
-/// Interval at which an aggregate that still holds is sent again.
+/// Interval at which an aggregate that is still valid is repeated.
 pub(super) const REPEAT_INTERVAL: TimeSpan = TimeSpan::from_seconds(6.0);
-/// Time by which each further aggregator waits for those before it to send.
+/// Time that each further aggregator waits for those ranked before it.
 pub(super) const AGGREGATOR_DELAY: TimeSpan = TimeSpan::from_seconds(0.5);
-/// Fraction of the burst by which a peer's estimate of the quota may be off before the aggregator corrects it.
+/// Deviation of a peer's estimate of the quota, as a fraction of the burst, beyond which the aggregator corrects it.
 pub(super) const TOLERATED_ERROR: f64 = 0.3;
-/// Change of a sent demand that is sent at once, in square roots of counts (standard deviations of a Poisson process).
+/// Change of the demand that is sent at once, as a difference of the square roots of counts (an approximately
+/// constant standard deviation for a Poisson process).
 const SIGNIFICANT_CHANGE: f64 = 1.5;
-/// Fraction of the burst below which a customer is short of quota.
+/// Level of the quota, as a fraction of the burst, below which it is running short.
 const SHORT_LEVEL: f64 = 0.2;
 
 /// The sum of a customer's demand over all its nodes, as sent or received.
@@ -25,15 +26,15 @@
 pub(super) struct QuotaAggregate {
     /// Units requested per second.
     demand: f64,
-    /// Units in the quota when this node sent it; 0 in a received one, whose level was applied when it came.
+    /// Units in the quota when this node sent it; 0 in a received aggregate, whose level was applied on receipt.
     quota_units: f64,
     /// When it was sent or received.
     at: Timestamp,
 }
 
-/// What an aggregator knows of a customer now.
+/// A customer's current usage, as an aggregator knows it.
 #[derive(Clone, Copy)]
-pub(super) struct PresentUse<'a> {
+pub(super) struct CurrentUsage<'a> {
     pub(super) now: Timestamp,
     pub(super) plan: &'a Plan,
     /// Units requested per second.
@@ -45,7 +46,7 @@
 }
 
 impl QuotaAggregate {
-    /// A sum as of a moment.
+    /// Creates an aggregate as of a time.
     pub(super) fn new(demand: f64, quota_units: f64, at: Timestamp) -> Self {
         QuotaAggregate {
             demand,
@@ -74,7 +75,7 @@
         self.at + LIFETIME
     }
 
-    /// True while receivers rely on it.
+    /// Returns true while receivers rely on it.
     pub(super) fn is_in_force(&self, now: Timestamp) -> bool {
         now - self.at < LIFETIME
     }
@@ -87,8 +88,8 @@
         }
     }
 
-    /// What this demand leaves, after a span, of a quota that nothing refills: the demand drains it, and a debt fades
-    /// with [`DEBT_HORIZON`].
+    /// Units that remain after `span` in a quota that is not refilled: the demand drains it, and a debt decays with
+    /// [`DEBT_HORIZON`].
     pub(super) fn drain(&self, quota_units: f64, span: TimeSpan, plan: &Plan) -> f64 {
         let rate = plan.quota_units_per_second;
         let seconds = span.as_seconds();
@@ -102,19 +103,20 @@
     }
 }
 
-/// True where what a customer's nodes were sent last no longer holds.
+/// Returns true if the aggregate that a customer's nodes were sent last is outdated.
 ///
-/// Nothing is in force: the customer is short of its quota, or its demand is beyond the rate at which its concurrency limit
-/// gains. An aggregate is in force: its receivers' estimate of the quota is off, its demand has changed by more than chance,
-/// or it still holds and is due to be repeated.
-pub(super) fn is_outdated(last_sent: Option<QuotaAggregate>, present: PresentUse<'_>) -> bool {
-    let PresentUse {
+/// If none is in force, one is needed when the customer is running short of its quota or its demand exceeds the rate
+/// that makes the best use of its concurrency limit. If one is in force, a new one is needed when the receivers'
+/// estimate of the quota is inaccurate, when the demand has changed by more than chance, or when the aggregate is
+/// still valid and due to be repeated.
+pub(super) fn is_outdated(last_sent: Option<QuotaAggregate>, current: CurrentUsage<'_>) -> bool {
+    let CurrentUsage {
         now,
         plan,
         demand,
         quota_units,
         max_rate,
-    } = present;
+    } = current;
     let rate = plan.quota_units_per_second;
     let burst = plan.quota_burst_units;
     let relied_on =
@@ -126,16 +128,16 @@
     let age = now - sent.at;
     let refilled = sent.drain(sent.quota_units, age, plan) + age.as_seconds() * rate;
     let receivers_estimate = refilled.min(burst);
-    let is_off = (quota_units - receivers_estimate).abs() > TOLERATED_ERROR * burst;
+    let is_inaccurate = (quota_units - receivers_estimate).abs() > TOLERATED_ERROR * burst;
     let has_changed = demand_has_changed(sent.demand, demand, max_rate.min(rate));
     let is_due_again = demand > rate && age > REPEAT_INTERVAL;
-    age > AGGREGATOR_DELAY && (is_off || has_changed || is_due_again)
+    age > AGGREGATOR_DELAY && (is_inaccurate || has_changed || is_due_again)
 }
 
-/// True where demand has risen by more than chance, or has fallen by more than chance below the limiting rate. A fall that
-/// ends above it shows in the quota.
-fn demand_has_changed(sent: f64, present: f64, limiting_rate: f64) -> bool {
-    let memory = RATE_MEMORY.as_seconds();
-    let change = (present * memory).sqrt() - (sent * memory).sqrt();
-    change > SIGNIFICANT_CHANGE || -change > SIGNIFICANT_CHANGE && present < limiting_rate
+/// Returns true if the demand has risen by more than chance, or has fallen by more than chance to below the limiting
+/// rate. A fall to a value above it shows in the quota.
+fn demand_has_changed(sent: f64, current: f64, limiting_rate: f64) -> bool {
+    let time_constant = RATE_TIME_CONSTANT.as_seconds();
+    let change = (current * time_constant).sqrt() - (sent * time_constant).sqrt();
+    change > SIGNIFICANT_CHANGE || -change > SIGNIFICANT_CHANGE && current < limiting_rate
 }
--- a/src/decision/quota/aggregation.rs
+++ b/src/decision/quota/aggregation.rs
@@ -1,32 +1,33 @@
-//! Aggregates: when an aggregator has to send the sum of a customer's use, and what a received one changes.
+//! Aggregates: when an aggregator has to send a customer's aggregate, and how a received one is applied.
 
 use applewall_node_types::TimeSpan;
 
 use super::aggregate::{self, QuotaAggregate, AGGREGATOR_DELAY, REPEAT_INTERVAL};
 use super::customer::CustomerQuota;
 use super::ledger::QuotaLedger;
+use super::message_interval;
 use super::messages::AggregateUpdate;
-use super::spacing;
 use crate::api::{NodeId, Plan};
 use crate::decision::context::Context;
 use crate::decision::hashing::CustomerFingerprint;
 
-/// Fraction of the receive limit that aggregates to sets of nodes may use, all aggregators sending.
+/// Fraction of the receive limit that aggregates to sets of nodes may use if all aggregators send.
 const AGGREGATE_FRACTION: f64 = 0.5;
-/// Time over which that fraction may be saved up: an aggregate is sent to many nodes at once.
+/// Maximum time for which that fraction accumulates while it is unused, since an aggregate is sent to many nodes at
+/// once.
 const MAX_SAVED_TIME: TimeSpan = TimeSpan::from_seconds(10.0);
 
 /// An aggregate that is due to all other nodes of a customer's set.
 pub(crate) struct DueAggregate {
     /// The receivers.
     pub to: Vec<NodeId>,
-    /// The sum.
+    /// The aggregate.
     pub update: AggregateUpdate,
 }
 
 impl QuotaLedger {
-    /// As a customer's aggregator, takes out the aggregate if what the customer's nodes were sent last no longer holds.
-    /// `max_rate`: see [`super::max_concurrency_rate`].
+    /// As a customer's aggregator, takes the aggregate to send, if the one sent last is outdated. `max_rate`: see
+    /// [`super::max_concurrency_rate`].
     pub(crate) fn take_due_aggregate(
         &mut self,
         context: &Context<'_>,
@@ -43,9 +44,10 @@
         entry.aggregate = Some(aggregate);
         entry.aggregate_due_since = None;
         let nodes = entry.nodes;
-        // All nodes of a set receive what all aggregators send: spaced by the number of receivers.
+        // All nodes of a set receive what all its aggregators send, so the interval grows with the number of
+        // receivers.
         self.next_aggregate_at = next_aggregate_at.max(now - MAX_SAVED_TIME)
-            + spacing(context, AGGREGATE_FRACTION) * f64::from(nodes.size - 1);
+            + message_interval(context, AGGREGATE_FRACTION) * f64::from(nodes.size - 1);
         let is_other = |node: &NodeId| *node != context.node();
         Some(DueAggregate {
             to: nodes.nodes(context.node_count()).filter(is_other).collect(),
@@ -61,32 +63,32 @@
         customer: CustomerFingerprint,
         update: AggregateUpdate,
     ) {
-        if !self.may_enter(customer) || !self.accepts_from(context, customer, from) {
+        if !self.may_track(customer) || !self.accepts_from(context, customer, from) {
             return;
         }
         let now = context.now();
         let entry = self.entry(now, customer);
         let plan = entry.plan.map(|plan| context.plan(plan));
         if let Some(plan) = plan {
-            entry.fill(now, plan);
+            entry.refill(now, plan);
         }
         entry.accept_aggregate(context, from, update, plan);
     }
 }
 
 impl CustomerQuota {
-    /// True where this node is to send an aggregate: it is an aggregator of a large set, what was sent last no longer
-    /// holds, and the aggregators before it did not send one, each within [`AGGREGATOR_DELAY`]. So the next
-    /// one sends if an aggregator is down.
+    /// Returns true if this node has to send an aggregate: it is an aggregator of a large set, the aggregate sent
+    /// last is outdated, and none of the aggregators ranked before it has sent one within [`AGGREGATOR_DELAY`] each.
+    /// This way the next one sends if an aggregator is down.
     fn aggregate_is_due(&mut self, context: &Context<'_>, plan: &Plan, max_rate: f64) -> bool {
         let all_aggregate = self.aggregators.includes_all_of(self.nodes);
-        if !self.aggregators.is_own() || all_aggregate || !plan.has_quota() {
+        if !self.aggregators.includes_this_node() || all_aggregate || !plan.has_quota() {
             return false;
         }
         let now = context.now();
-        self.fill(now, plan);
-        let present = self.present_use(now, plan, max_rate);
-        if !aggregate::is_outdated(self.aggregate, present) {
+        self.refill(now, plan);
+        let current = self.current_usage(now, plan, max_rate);
+        if !aggregate::is_outdated(self.aggregate, current) {
             self.aggregate_due_since = None;
             return false;
         }
@@ -108,8 +110,9 @@
         let now = context.now();
         self.aggregate = Some(QuotaAggregate::new(update.demand, 0.0, now));
         self.aggregate_due_since = None;
-        // An aggregator that has summed for longer than a repeat takes relies on its own sums.
-        let has_own_sums = self.aggregators.is_own() && now - self.known_since > REPEAT_INTERVAL;
+        // An aggregator that has summed for longer than the repeat interval relies on its own sums.
+        let has_own_sums =
+            self.aggregators.includes_this_node() && now - self.known_since > REPEAT_INTERVAL;
         match plan {
             Some(_) if has_own_sums => {}
             Some(plan) => self.quota_units = update.quota_level * plan.quota_burst_units,
--- a/src/decision/quota/aggregators.rs
+++ b/src/decision/quota/aggregators.rs
@@ -1,25 +1,27 @@
-//! Which nodes sum a customer's use.
+//! The nodes that aggregate a customer's usage.
 
 use crate::api::{NodeId, NodeSet};
 use crate::decision::context::Context;
 use crate::decision::fleet_size::all_can_report_to_all;
 use crate::decision::hashing::{rendezvous_rank, CustomerFingerprint};
 
-/// Aggregators of a set of nodes that cannot all report to each other: two, since one may be down or cut off.
+/// Number of aggregators of a set of nodes that cannot all report to each other: two, since one may be down or
+/// unreachable.
 const AGGREGATORS: usize = 2;
 
-/// The nodes that sum a customer's use, by rank.
+/// The nodes that aggregate a customer's usage, by rank.
 ///
-/// In a set of nodes that can all report to each other each is an aggregator. In a larger one [`AGGREGATORS`] are, and the
-/// first of them holds the ceiling reserve.
+/// In a set of nodes that can all report to each other, each one is an aggregator. In a larger set there are
+/// [`AGGREGATORS`], the first of which holds the ceiling reserve.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Aggregators {
     ranked: Vec<NodeId>,
-    is_own: bool,
+    includes_this_node: bool,
 }
 
 impl Aggregators {
-    /// Ranks the customer's nodes by rendezvous hashing, so that each node finds the same aggregators by itself.
+    /// Ranks the customer's nodes by rendezvous hashing, so that all nodes determine the same aggregators
+    /// independently.
     pub(super) fn assign(
         context: &Context<'_>,
         nodes: NodeSet,
@@ -31,32 +33,35 @@
             ranked.truncate(AGGREGATORS);
         }
         Aggregators {
-            is_own: ranked.contains(&context.node()),
+            includes_this_node: ranked.contains(&context.node()),
             ranked,
         }
     }
 
-    /// The aggregators that another process found.
-    pub(super) fn restore(ranked: Vec<NodeId>, is_own: bool) -> Self {
-        Aggregators { ranked, is_own }
+    /// Restores the aggregators determined by another process.
+    pub(super) fn restore(ranked: Vec<NodeId>, includes_this_node: bool) -> Self {
+        Aggregators {
+            ranked,
+            includes_this_node,
+        }
     }
 
-    /// True until the customer's nodes are known.
+    /// Returns true until the customer's nodes are known.
     pub(super) fn is_empty(&self) -> bool {
         self.ranked.is_empty()
     }
 
-    /// True where this node is an aggregator.
-    pub(super) fn is_own(&self) -> bool {
-        self.is_own
+    /// Returns true if this node is an aggregator.
+    pub(super) fn includes_this_node(&self) -> bool {
+        self.includes_this_node
     }
 
-    /// True where a node is an aggregator.
+    /// Returns true if `node` is an aggregator.
     pub(super) fn contains(&self, node: NodeId) -> bool {
         self.ranked.contains(&node)
     }
 
-    /// True where every node of a set is an aggregator.
+    /// Returns true if every node of a set is an aggregator.
     pub(super) fn includes_all_of(&self, nodes: NodeSet) -> bool {
         self.ranked.len() >= nodes.size as usize
     }
--- a/src/decision/quota/ceiling.rs
+++ b/src/decision/quota/ceiling.rs
@@ -1,56 +1,56 @@
-//! The ceiling of a customer: a token bucket that may never be exceeded, split over the customer's nodes.
+//! The ceiling of a customer: a token bucket that must never be exceeded, split over the customer's nodes.
 //!
-//! In a small set each node has an equal allocation and grants units to the peer that needs them most. In a large set
-//! half is allocated evenly, and the first aggregator holds the rest as a reserve that it grants from.
+//! In a small set, each node has an equal allocation and grants units to the peer that needs them most. In a large
+//! set, half is allocated evenly, and the first aggregator holds the rest as a reserve from which it makes grants.
 
 use applewall_node_types::TimeSpan;
 
 use crate::api::Plan;
 use crate::decision::context::Context;
 
-/// Fraction of a ceiling that is allocated evenly in a large set; the first aggregator grants the rest.
+/// Fraction of a ceiling that is allocated evenly in a large set; the rest is granted by the first aggregator.
 const BASE_ALLOCATION: f64 = 0.5;
-/// Fraction of what the quota leaves of a ceiling that a new process starts with.
+/// Fraction of the ceiling's excess over the quota with which a new process starts.
 const INITIAL_FRACTION: f64 = 0.75;
-/// Time constant with which units that were granted and not used are counted as lost.
-pub(super) const GRANT_MEMORY: TimeSpan = TimeSpan::from_seconds(3.0);
-/// Grants are made in quarters of a unit, as the message encodes them.
+/// Time constant with which unused granted units are written off.
+pub(super) const GRANT_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(3.0);
+/// Grants are made in steps of 1/4 unit, the resolution of the message.
 const GRANTS_PER_UNIT: f64 = 4.0;
-/// Fraction of its capacity from which on a bucket counts as full: sums of fractions do not reach it exactly.
+/// Fraction of its capacity at which a bucket counts as full, since sums of fractions do not reach it exactly.
 const FULL_FRACTION: f64 = 1.0 - 1e-9;
-/// Lowest rate that a time to fill is computed with, so that a plan without a ceiling divides by no zero.
+/// Minimum rate that a time to fill is computed with, so that a plan without a ceiling causes no division by zero.
 const MIN_RATE: f64 = 1e-9;
 
-/// Units rounded down to what a grant can carry.
+/// Rounds units down to the resolution of a grant.
 pub(super) fn round_down_to_grant(units: f64) -> f64 {
     (units * GRANTS_PER_UNIT).floor() / GRANTS_PER_UNIT
 }
 
-/// What other nodes have of the reserve.
+/// Usage of the reserve by other nodes.
 #[derive(Clone, Copy)]
-pub(super) struct ReserveUse {
+pub(super) struct ReserveUsage {
     /// Peers whose allocation is not full.
     pub(super) active_peers: usize,
-    /// Units granted and not known to be used.
+    /// Granted units that are not known to be used.
     pub(super) granted_units: f64,
 }
 
-/// This node's allocation of a customer's ceiling, and the reserve where this node holds it.
+/// This node's allocation of a customer's ceiling, and the reserve if this node holds it.
 #[derive(Clone, Debug)]
 pub(super) struct Ceiling {
-    /// Units that may pass here; below 0 for a moment where a larger request passed by its dither.
+    /// Units that can be admitted here; briefly negative after a larger request was admitted by its dither.
     units: f64,
     /// Fraction of the ceiling that is allocated evenly; the rest is in the first aggregator's reserve.
     base_allocation: f64,
-    /// Units in the reserve, where this node holds it.
+    /// Units in the reserve, if this node holds it.
     reserve: Option<f64>,
-    /// A request passes if the units available are at least this fraction of its own. Drawn for each request in a
-    /// large set, 1 in a small one.
+    /// A request is admitted if the available units are at least this fraction of its units. Drawn for each request
+    /// in a large set, 1 in a small one.
     dither: f64,
 }
 
 impl Ceiling {
-    /// An empty allocation that is not split yet.
+    /// Creates an empty allocation that is not split yet.
     pub(super) fn empty() -> Self {
         Ceiling {
             units: 0.0,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// An allocation as another process had it.
+    /// Restores the allocation of another process.
     pub(super) fn restore(
         units: f64,
         base_allocation: f64,
@@ -75,17 +75,15 @@
         }
     }
 
-    /// Units of the allocation.
     pub(super) fn units(&self) -> f64 {
         self.units
     }
 
-    /// Fraction of the ceiling that is allocated evenly.
     pub(super) fn base_allocation(&self) -> f64 {
         self.base_allocation
     }
 
-    /// Units in the reserve, where this node holds it.
+    /// Units in the reserve, if this node holds it.
     pub(super) fn reserve(&self) -> Option<f64> {
         self.reserve
     }
@@ -95,7 +93,8 @@
         self.dither
     }
 
-    /// True where a fraction of the ceiling is in a reserve: the customer's nodes are too many to report to each other.
+    /// Returns true if part of the ceiling is in a reserve, because the customer's nodes are too many to report to
+    /// each other.
     pub(super) fn has_reserve(&self) -> bool {
         self.base_allocation < 1.0
     }
@@ -106,8 +105,8 @@
         self.reserve = holds_reserve.then(|| self.reserve.unwrap_or(0.0));
     }
 
-    /// Sets what is there when the customer becomes known: as filled since this process started, because an earlier
-    /// process may have spent what was there before.
+    /// Sets the initial units of a customer that becomes known: what has been refilled since this process started,
+    /// because an earlier process may have spent the units from before.
     pub(super) fn initialize(&mut self, age: TimeSpan, plan: &Plan, nodes: u32) {
         let burst = plan.ceiling_burst_units;
         let filled = (age.as_seconds() * plan.ceiling_units_per_second).min(burst);
@@ -121,8 +120,8 @@
         self.reserve = self.reserve.map(|_| filled * (1.0 - allocation));
     }
 
-    /// Draws the dither of the next request. In a large set allocations are smaller than requests: if they had to
-    /// cover a full request, each node would withhold up to one, which together are many.
+    /// Draws the dither of the next request. In a large set, allocations are smaller than requests: if they had to
+    /// cover a full request, each node would withhold up to one request, which adds up over all nodes.
     pub(super) fn draw_dither(&mut self, context: &mut Context<'_>) {
         self.dither = if self.has_reserve() {
             context.draw()
@@ -131,13 +130,13 @@
         };
     }
 
-    /// True where a request of so many units may pass.
+    /// Returns true if a request of `units` may be admitted.
     pub(super) fn admits(&self, units: f64, plan: &Plan) -> bool {
         let available = self.units + self.reserve.unwrap_or(0.0);
         !plan.has_ceiling() || available >= units * self.dither
     }
 
-    /// Takes the units of a request that was sent; what the allocation lacks comes from the reserve.
+    /// Takes the units of a request that was sent; the reserve covers what the allocation lacks.
     pub(super) fn charge(&mut self, units: f64) {
         self.units -= units;
         let Some(reserve) = &mut self.reserve else {
@@ -149,14 +148,15 @@
         }
     }
 
-    /// Fills the allocation.
+    /// Refills the allocation.
     ///
-    /// What was granted beyond its capacity stays, in a large set only for as long as the reserve counts it as granted:
-    /// if it stayed for ever, grants to one peer after another would add up to far more than the ceiling.
-    pub(super) fn fill_allocation(&mut self, span: TimeSpan, plan: &Plan, nodes: u32) {
+    /// Granted units beyond its capacity are kept, but in a large set only for as long as the reserve counts them as
+    /// granted: if they were kept indefinitely, grants to one peer after another would add up to far more than the
+    /// ceiling.
+    pub(super) fn refill_allocation(&mut self, span: TimeSpan, plan: &Plan, nodes: u32) {
         let fraction = self.base_allocation / f64::from(nodes);
         let decay = if self.has_reserve() {
-            span.decay(GRANT_MEMORY)
+            span.decay(GRANT_TIME_CONSTANT)
         } else {
             1.0
         };
@@ -166,23 +166,23 @@
         self.units = filled.min(capacity + excess);
     }
 
-    /// Fills the reserve, if this node holds it. An allocation that was not used for as long as the ceiling takes to
-    /// fill is full: the reserve gets what would run over there.
-    pub(super) fn fill_reserve(
+    /// Refills the reserve if this node holds it. An allocation that has not been used for as long as the ceiling
+    /// takes to fill is full, so the reserve gets what would overflow there.
+    pub(super) fn refill_reserve(
         &mut self,
         span: TimeSpan,
         plan: &Plan,
         nodes: u32,
-        use_of_reserve: impl FnOnce() -> ReserveUse,
+        reserve_usage: impl FnOnce() -> ReserveUsage,
     ) {
         let Some(reserve) = &mut self.reserve else {
             return;
         };
         let nodes = f64::from(nodes);
-        let ReserveUse {
+        let ReserveUsage {
             active_peers,
             granted_units,
-        } = use_of_reserve();
+        } = reserve_usage();
         let fraction = 1.0 - self.base_allocation * (active_peers as f64 + 1.0).min(nodes) / nodes;
         let reserved_burst = plan.ceiling_burst_units * (1.0 - self.base_allocation);
         let capacity = (reserved_burst - granted_units).max(0.0);
@@ -190,7 +190,7 @@
         *reserve = filled.min(capacity);
     }
 
-    /// Takes up to `wanted` units from the reserve, at most half of it, as much as a grant can carry.
+    /// Takes up to `wanted` units from the reserve, at most half of it, rounded down to the resolution of a grant.
     pub(super) fn take_from_reserve(&mut self, wanted: f64) -> Option<f64> {
         let reserve = self.reserve.as_mut()?;
         let amount = round_down_to_grant(wanted.min(*reserve / 2.0).max(0.0));
@@ -198,12 +198,12 @@
         Some(amount)
     }
 
-    /// Takes units that are granted to a peer of a small set.
+    /// Takes units granted to a peer of a small set.
     pub(super) fn take(&mut self, units: f64) {
         self.units -= units;
     }
 
-    /// Adds units that a peer granted.
+    /// Adds units granted by a peer.
     pub(super) fn add_grant(&mut self, units: f64, plan: &Plan, nodes: u32) {
         let fraction = if self.has_reserve() {
             1.0 - self.base_allocation
@@ -213,7 +213,8 @@
         self.units = (self.units + units).min(plan.ceiling_burst_units * fraction);
     }
 
-    /// Gives a fraction of the units and the reserve to another process, whose form it returns; the rest of the units stays.
+    /// Hands a fraction of the units and the whole reserve over to another process, and returns its ceiling. The
+    /// other units stay here.
     pub(super) fn hand_over(&mut self, handed_over: f64) -> Ceiling {
         let transferred = Ceiling {
             units: self.units * handed_over,
@@ -224,7 +225,7 @@
         transferred
     }
 
-    /// True where allocation and reserve are full, so that nothing is lost by forgetting them.
+    /// Returns true if allocation and reserve are full, so that nothing is lost by discarding them.
     pub(super) fn is_full(&self, plan: &Plan, nodes: u32) -> bool {
         if !plan.has_ceiling() {
             return true;
@@ -238,13 +239,13 @@
     }
 }
 
-/// Time in which an empty ceiling fills.
+/// Time that an empty ceiling takes to fill.
 pub(super) fn time_to_fill(plan: &Plan) -> TimeSpan {
     TimeSpan::from_seconds(plan.ceiling_burst_units / plan.ceiling_units_per_second.max(MIN_RATE))
 }
 
-/// True where the quota fills no faster than the ceiling. An earlier process that enforced the quota then left
-/// of the ceiling what exceeds the quota's burst.
+/// Returns true if the quota fills no faster than the ceiling. An earlier process that enforced the quota then left
+/// at least the part of the ceiling that exceeds the quota's burst.
 fn quota_bounds_use(plan: &Plan) -> bool {
     plan.has_quota() && plan.quota_units_per_second <= plan.ceiling_units_per_second
 }
--- a/src/decision/quota/customer.rs
+++ b/src/decision/quota/customer.rs
@@ -1,79 +1,79 @@
-//! A customer's quota and ceiling as far as this node knows them.
+//! A customer's quota and ceiling, as far as this node knows them.
 
 use std::collections::BTreeMap;
 
 use applewall_node_types::{TimeSpan, Timestamp};
 
-use super::aggregate::{PresentUse, QuotaAggregate};
+use super::aggregate::{CurrentUsage, QuotaAggregate};
 use super::aggregators::Aggregators;
-use super::ceiling::{self, Ceiling, ReserveUse};
+use super::ceiling::{self, Ceiling, ReserveUsage};
 use super::messages::WrappingTotal;
 use super::peer_usage::PeerUsage;
-use super::RATE_MEMORY;
+use super::RATE_TIME_CONSTANT;
 use crate::api::{NodeId, NodeSet, Plan, PlanId};
 use crate::decision::context::Context;
 use crate::decision::decaying_rate::DecayingRate;
 use crate::decision::hashing::CustomerFingerprint;
 
-/// How far below zero the estimate of a quota may go, in seconds of its rate: bounds what a wrong report can cost.
+/// Maximum debt of the estimated quota, as a duration at its rate. It bounds the effect of a wrong report.
 const MAX_DEBT: TimeSpan = TimeSpan::from_seconds(1.0);
-/// Level of the quota, as a fraction of the burst, below which a customer is busy: its use is reported.
+/// Level of the quota, as a fraction of the burst, below which a customer is busy, so that its usage is reported.
 const BUSY_LEVEL: f64 = 0.8;
 /// Demand, as a fraction of the quota's rate, above which a customer is busy.
 const BUSY_DEMAND: f64 = 0.4;
 
-/// Demand for a customer's units, here and over all nodes.
+/// Demand for a customer's units, at this node and at all nodes.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Demand {
     /// Units requested per second through this node.
     pub(super) own: DecayingRate,
-    /// Units requested per second through all nodes that this one knows of.
+    /// Units requested per second through all nodes, as far as known here.
     pub(super) total: DecayingRate,
     /// Units per second that peers report as forwarded.
     pub(super) peers_forwarded: DecayingRate,
-    /// Units forwarded by this process.
+    /// Total units forwarded by this process.
     pub(super) forwarded_units: f64,
-    /// Units requested from this process.
+    /// Total units requested from this process.
     pub(super) requested_units: f64,
 }
 
 /// One customer's entry in the ledger.
 ///
-/// `quota_units` estimates the token bucket over all nodes together: this node's own requests and the peers' reports drain
-/// it, or, while an aggregate is in force, the demand of the aggregate.
+/// `quota_units` estimates the token bucket over all nodes together. It is drained by this node's own requests and
+/// the peers' reports or, while an aggregate is in force, by the demand of the aggregate.
 #[derive(Clone, Debug)]
 pub(super) struct CustomerQuota {
-    /// Its plan, once a request or a report named it.
+    /// Its plan, once a request or report has named it.
     pub(super) plan: Option<PlanId>,
-    /// The nodes that its requests come in through.
+    /// The nodes through which its requests arrive.
     pub(super) nodes: NodeSet,
     pub(super) aggregators: Aggregators,
-    /// Estimate of the units in the quota over all nodes; negative for a debt.
+    /// Estimated units in the quota over all nodes; negative for a debt.
     pub(super) quota_units: f64,
     pub(super) ceiling: Ceiling,
-    /// In the queue of customers whose use is still to be reported.
+    /// Whether it is in the queue of customers whose usage has to be reported.
     pub(super) unreported: bool,
-    /// When the quota and the ceiling were last filled.
-    pub(super) filled_at: Timestamp,
-    /// When a request or report of it came last.
+    /// When the quota and the ceiling were last refilled.
+    pub(super) refilled_at: Timestamp,
+    /// When its last request or report arrived.
     pub(super) last_seen_at: Timestamp,
-    /// When it became known.
+    /// When its entry was created.
     pub(super) known_since: Timestamp,
     pub(super) demand: Demand,
     /// Requests in flight from this node.
     pub(super) in_flight: u32,
-    /// What each peer reported last.
+    /// The last report of each peer.
     pub(super) peers: BTreeMap<NodeId, PeerUsage>,
     /// Level that a peer reported before this node knew the plan, as a fraction of the burst.
     pub(super) initial_level: f64,
     /// The last aggregate sent or received.
     pub(super) aggregate: Option<QuotaAggregate>,
-    /// Since when an aggregate is due.
+    /// Since when an aggregate has been due.
     pub(super) aggregate_due_since: Option<Timestamp>,
 }
 
 impl CustomerQuota {
-    /// An entry of which nothing is known.
+    /// Creates an empty entry.
     pub(super) fn new(now: Timestamp) -> Self {
         CustomerQuota {
             plan: None,
@@ -82,7 +82,7 @@
             quota_units: 0.0,
             ceiling: Ceiling::empty(),
             unreported: false,
-            filled_at: now,
+            refilled_at: now,
             last_seen_at: now,
             known_since: now,
             demand: Demand::default(),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Enters the plan and the nodes as a request or a report names them, and finds the aggregators among the nodes.
+    /// Sets the plan and the nodes that a request or report names, and determines the aggregators among the nodes.
     pub(super) fn register(
         &mut self,
         context: &mut Context<'_>,
@@ -113,60 +113,62 @@
         if self.plan.is_none() {
             self.plan = Some(plan);
             let plan = context.plan(plan);
-            self.filled_at = context.now();
+            self.refilled_at = context.now();
             self.quota_units = plan.quota_burst_units * self.initial_level;
             self.ceiling.initialize(context.age(), plan, nodes.size);
             self.ceiling.draw_dither(context);
         }
     }
 
-    /// Counts a request's units in the demand. A client's own retry adds no demand to that of its first request.
+    /// Counts a request's units in the demand. A client's retry adds no demand to that of its first attempt.
     pub(super) fn record_demand(&mut self, now: Timestamp, units: f64, is_retry: bool) {
         self.last_seen_at = now;
         if !is_retry {
-            self.demand.own.add(now, units, RATE_MEMORY);
-            self.demand.total.add(now, units, RATE_MEMORY);
+            self.demand.own.add(now, units, RATE_TIME_CONSTANT);
+            self.demand.total.add(now, units, RATE_TIME_CONSTANT);
             self.demand.requested_units += units;
         }
     }
 
-    /// True where peers have to know of this node's use: the quota may run short, or another node sums it.
-    pub(super) fn has_to_be_reported(&self, now: Timestamp, plan: &Plan) -> bool {
+    /// Returns true if peers have to know this node's usage, because the quota may run short or because another node
+    /// is an aggregator.
+    pub(super) fn needs_report(&self, now: Timestamp, plan: &Plan) -> bool {
         let is_busy = self.quota_units < BUSY_LEVEL * plan.quota_burst_units
             || self.total_demand(now) > BUSY_DEMAND * plan.quota_units_per_second
-            || !self.aggregators.is_own();
+            || !self.aggregators.includes_this_node();
         is_busy && self.nodes.size > 1 && plan.has_quota()
     }
 
-    /// Units requested per second through all nodes that this one knows of.
+    /// Units requested per second through all nodes, as far as known here.
     pub(super) fn total_demand(&self, now: Timestamp) -> f64 {
-        self.demand.total.read(now, RATE_MEMORY)
+        self.demand.total.read(now, RATE_TIME_CONSTANT)
     }
 
     /// Units requested per second through this node.
     pub(super) fn own_demand(&self, now: Timestamp) -> f64 {
-        self.demand.own.read(now, RATE_MEMORY)
+        self.demand.own.read(now, RATE_TIME_CONSTANT)
     }
 
     /// The aggregate that this node relies on, if one is in force. An aggregator relies on its own sums instead.
     pub(super) fn aggregate_in_force(&self, now: Timestamp) -> Option<QuotaAggregate> {
-        self.aggregate
-            .filter(|aggregate| !self.aggregators.is_own() && aggregate.is_in_force(now))
+        self.aggregate.filter(|aggregate| {
+            !self.aggregators.includes_this_node() && aggregate.is_in_force(now)
+        })
     }
 
-    /// This node's own sums.
+    /// An aggregate of this node's own sums.
     pub(super) fn own_aggregate(&self, now: Timestamp) -> QuotaAggregate {
         QuotaAggregate::new(self.total_demand(now), self.quota_units, now)
     }
 
-    /// This node's own sums, to compare with what was sent last.
-    pub(super) fn present_use<'a>(
+    /// This node's own sums, for comparison with the aggregate sent last.
+    pub(super) fn current_usage<'a>(
         &self,
         now: Timestamp,
         plan: &'a Plan,
         max_rate: f64,
-    ) -> PresentUse<'a> {
-        PresentUse {
+    ) -> CurrentUsage<'a> {
+        CurrentUsage {
             now,
             plan,
             demand: self.total_demand(now),
@@ -175,34 +177,34 @@
         }
     }
 
-    /// Brings the quota and the ceiling up to now. The peers' use, for as long as the aggregate is relied on, drains the
-    /// quota before it is refilled.
-    pub(super) fn fill(&mut self, now: Timestamp, plan: &Plan) {
-        let relied_on_from = self.filled_at;
+    /// Refills the quota and the ceiling up to `now`. While an aggregate is relied on, the peers' usage drains the
+    /// quota before the refill.
+    pub(super) fn refill(&mut self, now: Timestamp, plan: &Plan) {
+        let relied_on_from = self.refilled_at;
         let aggregate = self.aggregate.filter(|aggregate| {
-            !self.aggregators.is_own() && aggregate.expires_at() > relied_on_from
+            !self.aggregators.includes_this_node() && aggregate.expires_at() > relied_on_from
         });
         if let Some(aggregate) = aggregate {
-            let span = aggregate.expires_at().min(now) - self.filled_at;
+            let span = aggregate.expires_at().min(now) - self.refilled_at;
             self.quota_units = aggregate.drain(self.quota_units, span, plan);
         }
-        let span = (now - self.filled_at).max(TimeSpan::ZERO);
-        self.filled_at = now;
+        let span = (now - self.refilled_at).max(TimeSpan::ZERO);
+        self.refilled_at = now;
         self.quota_units = (self.quota_units + span.as_seconds() * plan.quota_units_per_second)
             .min(plan.quota_burst_units);
-        self.fill_ceiling(now, span, plan);
+        self.refill_ceiling(now, span, plan);
     }
 
-    /// Fills the allocation of the ceiling, and the reserve where it is here.
-    pub(super) fn fill_ceiling(&mut self, now: Timestamp, span: TimeSpan, plan: &Plan) {
+    /// Refills the ceiling's allocation and, if this node holds it, the reserve.
+    pub(super) fn refill_ceiling(&mut self, now: Timestamp, span: TimeSpan, plan: &Plan) {
         let nodes = self.nodes.size;
-        self.ceiling.fill_allocation(span, plan, nodes);
+        self.ceiling.refill_allocation(span, plan, nodes);
         let peers = &self.peers;
         self.ceiling
-            .fill_reserve(span, plan, nodes, || reserve_use(peers, now, plan));
+            .refill_reserve(span, plan, nodes, || reserve_usage(peers, now, plan));
     }
 
-    /// Takes units from the quota. The debt is bounded, by a request at least.
+    /// Takes units from the quota. The debt is bounded, but not to less than the largest request.
     pub(super) fn drain(&mut self, plan: &Plan, units: f64, max_request_units: f64) {
         let max_debt = (plan.quota_units_per_second * MAX_DEBT.as_seconds()).max(max_request_units);
         self.quota_units = (self.quota_units - units).max(-max_debt);
@@ -227,19 +229,19 @@
         self.in_flight += 1;
     }
 
-    /// Counts a request that ended.
+    /// Removes a finished request from those in flight.
     pub(super) fn release(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Replaces the estimated units of a request by those that the response settled.
+    /// Replaces the estimated units of a request by those that the response reports.
     pub(super) fn settle(&mut self, context: &Context<'_>, plan: &Plan, difference: f64) {
         self.drain(plan, difference, context.settings().max_request_units);
         self.demand.forwarded_units = (self.demand.forwarded_units + difference).max(0.0);
     }
 
-    /// As the holder of the ceiling reserve, grants a peer that used so many units what it may soon need. A grant that is
-    /// lost only wastes units.
+    /// As the holder of the ceiling reserve, grants a peer that used `used_units` what it may need soon. A lost grant
+    /// only wastes units.
     pub(super) fn grant_from_reserve(
         &mut self,
         now: Timestamp,
@@ -255,14 +257,14 @@
         Some(amount).filter(|amount| *amount > 0.0)
     }
 
-    /// True where nothing is lost by forgetting the customer: quota and ceiling are full. A plan without a rate never fills
-    /// what its requests take, so it counts as full.
+    /// Returns true if nothing is lost by evicting the customer, because quota and ceiling are full. A quota or
+    /// ceiling whose rate is 0 never refills, so it counts as full.
     pub(super) fn is_full(&self, plan: &Plan) -> bool {
         let quota_is_full = !plan.has_quota() || self.quota_units >= plan.quota_burst_units;
         quota_is_full && self.ceiling.is_full(plan, self.nodes.size)
     }
 
-    /// Units forwarded and requested by this process, as reports carry them.
+    /// Total units forwarded and requested by this process, as reports carry them.
     pub(super) fn reported_totals(&self) -> (WrappingTotal, WrappingTotal) {
         (
             WrappingTotal::from_units(self.demand.forwarded_units),
@@ -271,12 +273,12 @@
     }
 }
 
-/// What peers have of the ceiling reserve: those that used their allocation in the time that it takes to fill, and units
-/// that were granted.
-fn reserve_use(peers: &BTreeMap<NodeId, PeerUsage>, now: Timestamp, plan: &Plan) -> ReserveUse {
+/// Usage of the ceiling reserve by peers: those that used their allocation within the time that it takes to fill, and
+/// the granted units.
+fn reserve_usage(peers: &BTreeMap<NodeId, PeerUsage>, now: Timestamp, plan: &Plan) -> ReserveUsage {
     let time_to_fill = ceiling::time_to_fill(plan);
     let is_active = |peer: &&PeerUsage| now - peer.last_reported_at() < time_to_fill;
-    ReserveUse {
+    ReserveUsage {
         active_peers: peers.values().filter(is_active).count(),
         granted_units: peers.values().map(|peer| peer.granted_units(now)).sum(),
     }
--- a/src/decision/quota/customer/tests.rs
+++ b/src/decision/quota/customer/tests.rs
@@ -1,8 +1,8 @@
-//! Ceilings of a customer over a set of nodes.
+//! Tests of a customer's ceiling over a set of nodes.
 
 use super::*;
 
-/// A quota of 20 units a second, and a ceiling of 40 a second and 68 at once.
+/// A plan with a quota of 20 units per second and a ceiling of 40 per second with a burst of 68.
 fn plan() -> Plan {
     Plan {
         quota_units_per_second: 20.0,
@@ -13,7 +13,7 @@
     }
 }
 
-/// A customer of a large set of nodes, as the first aggregator or as another node has it.
+/// A customer of a large set of nodes, as seen by the first aggregator or by another node.
 fn customer_of_large_set(nodes: u32, holds_reserve: bool) -> CustomerQuota {
     let mut customer = CustomerQuota::new(Timestamp::default());
     customer.nodes = NodeSet::first_nodes(nodes);
@@ -29,14 +29,14 @@
         .map(|_| customer_of_large_set(nodes, false))
         .collect();
     let mut max_units: f64 = 0.0;
-    // Each node in order has a moment of demand, is granted what it may need, and uses none of it.
+    // Each node in turn has a short demand, is granted what it may need, and uses none of it.
     for step in 0..600u32 {
         let now = Timestamp::from_seconds(f64::from(step) * 0.05);
         let span = TimeSpan::from_seconds(0.05);
         let node = step % (nodes - 1);
-        holder.fill_ceiling(now, span, &plan);
+        holder.refill_ceiling(now, span, &plan);
         for other in &mut others {
-            other.fill_ceiling(now, span, &plan);
+            other.refill_ceiling(now, span, &plan);
         }
         let peer = NodeId(node + 1);
         holder.peers.entry(peer).or_default().add_demand(now, 6.0);
@@ -58,6 +58,6 @@
     customer.nodes = NodeSet::first_nodes(3);
     customer.ceiling.take(-40.0);
     let minute = TimeSpan::from_seconds(60.0);
-    customer.fill_ceiling(Timestamp::default() + minute, minute, &plan());
+    customer.refill_ceiling(Timestamp::default() + minute, minute, &plan());
     assert_eq!(customer.ceiling.units(), 40.0);
 }
--- a/src/decision/quota/grants.rs
+++ b/src/decision/quota/grants.rs
@@ -1,4 +1,4 @@
-//! Grants: units of a ceiling that nodes of a small set move to the peer that needs them most.
+//! Grants: units of a ceiling that the nodes of a small set transfer to the peer that needs them most.
 
 use super::ceiling::round_down_to_grant;
 use super::customer::CustomerQuota;
@@ -7,12 +7,12 @@
 use crate::decision::context::Context;
 use crate::decision::hashing::CustomerFingerprint;
 
-/// Fraction of a ceiling's slack that a round of grants may have in flight.
+/// Fraction of a ceiling's slack that one round of grants may have in flight.
 const SLACK_FRACTION: f64 = 0.5;
-/// Fraction of a node's equal allocation of the ceiling above which its demand needs a grant.
-const NEEDY_FRACTION: f64 = 0.7;
+/// Fraction of a node's equal allocation of the ceiling above which its demand qualifies for a grant.
+const GRANT_DEMAND_FRACTION: f64 = 0.7;
 
-/// Units of a customer's ceiling for a peer. They are taken here at once, so a grant that is lost only wastes them.
+/// Units of a customer's ceiling for a peer. They are deducted here at once, so a lost grant only wastes them.
 pub(crate) struct DueGrant {
     /// The receiver.
     pub to: NodeId,
@@ -23,7 +23,7 @@
 }
 
 impl QuotaLedger {
-    /// Takes out the grants of this round: for each customer with a ceiling and a small set of nodes one at most.
+    /// Takes the grants of this round: at most one for each customer with a ceiling and a small set of nodes.
     pub(crate) fn take_due_grants(&mut self, context: &Context<'_>) -> Vec<DueGrant> {
         let mut due = Vec::new();
         for (customer, entry) in &mut self.customers {
@@ -34,7 +34,7 @@
             if !plan.has_ceiling() || !is_small_set {
                 continue;
             }
-            entry.fill(context.now(), plan);
+            entry.refill(context.now(), plan);
             if let Some((to, units)) = entry.choose_grant(context, plan) {
                 entry.ceiling.take(units);
                 due.push(DueGrant {
@@ -47,7 +47,7 @@
         due
     }
 
-    /// Adds units that a peer granted.
+    /// Applies a grant of a peer.
     pub(crate) fn receive_grant(
         &mut self,
         context: &Context<'_>,
@@ -55,7 +55,7 @@
         customer: CustomerFingerprint,
         units: f64,
     ) {
-        if !self.may_enter(customer) || !self.accepts_from(context, customer, from) {
+        if !self.may_track(customer) || !self.accepts_from(context, customer, from) {
             return;
         }
         let now = context.now();
@@ -63,13 +63,14 @@
         let Some(plan) = entry.plan.map(|plan| context.plan(plan)) else {
             return;
         };
-        entry.fill(now, plan);
+        entry.refill(now, plan);
         entry.ceiling.add_grant(units, plan, entry.nodes.size);
     }
 }
 
 impl CustomerQuota {
-    /// The peer with the highest demand beyond its allocation, and the units that this node can spare for it.
+    /// Chooses the peer with the highest demand among those beyond their allocation, and the units that this node can
+    /// spare for it.
     fn choose_grant(&self, context: &Context<'_>, plan: &Plan) -> Option<(NodeId, f64)> {
         let now = context.now();
         let nodes = f64::from(self.nodes.size);
@@ -79,7 +80,7 @@
             .peers
             .iter()
             .map(|(peer, usage)| (*peer, usage.demand(now)))
-            .filter(|(_, demand)| *demand > NEEDY_FRACTION * equal_rate)
+            .filter(|(_, demand)| *demand > GRANT_DEMAND_FRACTION * equal_rate)
             .max_by(|left, right| left.1.total_cmp(&right.1))?;
         let max_in_flight = SLACK_FRACTION * plan.ceiling_slack_units / nodes;
         let units = round_down_to_grant(max_in_flight.min(self.ceiling.units() - reserved));
--- a/src/decision/quota/ledger.rs
+++ b/src/decision/quota/ledger.rs
@@ -1,4 +1,4 @@
-//! The quota ledger: what this node knows of each customer's use over all nodes.
+//! The quota ledger: each customer's usage over all nodes, as far as this node knows it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,30 +9,30 @@
 use crate::decision::context::Context;
 use crate::decision::hashing::CustomerFingerprint;
 
-/// Number of customers from which on reports of unknown ones are ignored, and idle ones are forgotten each monitor interval:
-/// bounds memory under floods of customers that send one request each.
+/// Number of customers from which on reports of unknown customers are ignored and idle ones are evicted every monitor
+/// interval. It bounds memory under floods of customers that send one request each.
 const MAX_CUSTOMERS: usize = 8192;
-/// Customers without a request or report for longer are forgotten once their quotas and ceilings are full.
+/// Idle time after which a customer is evicted once its quota and ceiling are full.
 const MAX_IDLE_TIME: TimeSpan = TimeSpan::from_seconds(10.0);
 
-/// All customers known here, and whose use is still to be reported.
+/// All customers that this node tracks, and the queue of those whose usage has to be reported.
 ///
-/// The policy's task alone reads and writes it. Requests charge it, gossip brings the peers' use, and a hot restart
-/// transfers all customers.
+/// Accessed only by the policy's task. Requests charge it, gossip adds the peers' usage, and a hot restart transfers
+/// all customers.
 pub(crate) struct QuotaLedger {
     pub(super) customers: BTreeMap<CustomerFingerprint, CustomerQuota>,
-    /// Customers whose use the aggregators have not been sent yet, in order.
+    /// Customers whose usage has not been sent to the aggregators yet, in order.
     pub(super) unreported: VecDeque<CustomerFingerprint>,
     /// When the next report may be sent.
     pub(super) next_report_at: Timestamp,
     /// When the next aggregate may be sent.
     pub(super) next_aggregate_at: Timestamp,
-    /// When customers are next forgotten.
+    /// When idle customers are next evicted.
     next_sweep_at: Timestamp,
 }
 
 impl QuotaLedger {
-    /// A ledger without customers.
+    /// Creates a ledger without customers.
     pub(crate) fn new(now: Timestamp) -> Self {
         QuotaLedger {
             customers: BTreeMap::new(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A customer, entered now if it is not known yet.
+    /// Returns a customer's entry, which is created if it does not exist.
     pub(super) fn entry(
         &mut self,
         now: Timestamp,
@@ -54,12 +54,12 @@
             .or_insert_with(|| CustomerQuota::new(now))
     }
 
-    /// A customer whose request is being handled: [`Self::record_request`] entered it.
+    /// Returns the customer of a request that is being handled, whose entry exists since [`Self::record_request`].
     pub(super) fn known(&self, customer: CustomerFingerprint) -> &CustomerQuota {
         &self.customers[&customer]
     }
 
-    /// A customer with its plan, where both are known.
+    /// Returns a customer with its plan, if both are known.
     pub(super) fn with_plan<'a>(
         &mut self,
         context: &Context<'a>,
@@ -70,7 +70,7 @@
         Some((customer, plan))
     }
 
-    /// Counts a request in its customer's demand, and has the customer's use reported if it is busy.
+    /// Counts a request in its customer's demand, and queues a report of the customer's usage if it is busy.
     pub(crate) fn record_request(
         &mut self,
         context: &mut Context<'_>,
@@ -81,15 +81,15 @@
         let plan = context.plan(request.plan);
         let entry = self.entry(now, customer);
         entry.register(context, customer, request.plan, request.nodes);
-        entry.fill(now, plan);
+        entry.refill(now, plan);
         entry.record_demand(now, request.units, request.is_retry);
-        let reports = context.settings().gossip_enabled && entry.has_to_be_reported(now, plan);
+        let reports = context.settings().gossip_enabled && entry.needs_report(now, plan);
         if reports && !std::mem::replace(&mut entry.unreported, true) {
             self.unreported.push_back(customer);
         }
     }
 
-    /// Takes the units of a request that was sent, and counts it as in flight.
+    /// Charges the units of a request that was sent and counts it as in flight.
     pub(crate) fn charge(
         &mut self,
         context: &mut Context<'_>,
@@ -102,14 +102,15 @@
         entry.charge(context, plan, request.units, within_quota);
     }
 
-    /// Counts a request that ended.
+    /// Removes a finished request from those in flight.
     pub(crate) fn release(&mut self, customer: CustomerFingerprint) {
         if let Some(customer) = self.customers.get_mut(&customer) {
             customer.release();
         }
     }
 
-    /// Replaces the estimated units of a request by those that the response settled. `difference`: settled less estimated.
+    /// Replaces the estimated units of a request by those that the response reports. `difference`: actual less
+    /// estimated units.
     pub(crate) fn settle(
         &mut self,
         context: &Context<'_>,
@@ -122,12 +123,12 @@
         }
     }
 
-    /// The plan of a customer, once a request or report named it.
+    /// The plan of a customer, once a request or report has named it.
     pub(crate) fn plan_of(&self, customer: CustomerFingerprint) -> Option<PlanId> {
         self.customers.get(&customer)?.plan
     }
 
-    /// Restarts a peer's totals: it is a new process.
+    /// Resets a peer's totals, which begin again after its restart.
     pub(crate) fn restart_totals_of(&mut self, peer: NodeId) {
         for customer in self.customers.values_mut() {
             if let Some(usage) = customer.peers.get_mut(&peer) {
@@ -136,14 +137,14 @@
         }
     }
 
-    /// True where no further customer may be entered.
+    /// Returns true if no further customer may be added because of a report.
     pub(super) fn is_full(&self) -> bool {
         self.customers.len() >= MAX_CUSTOMERS
     }
 
-    /// Every [`MAX_IDLE_TIME`], and sooner where there are too many, forgets customers without a recent request or report
-    /// whose quotas and ceilings are full.
-    pub(crate) fn forget_idle(&mut self, context: &Context<'_>) {
+    /// Evicts customers that have had no recent request or report and whose quotas and ceilings are full. Runs every
+    /// [`MAX_IDLE_TIME`], or immediately if there are too many customers.
+    pub(crate) fn evict_idle(&mut self, context: &Context<'_>) {
         let now = context.now();
         if now < self.next_sweep_at && self.customers.len() <= MAX_CUSTOMERS {
             return;
@@ -152,7 +153,7 @@
         self.customers.retain(|_, customer| {
             let plan = customer.plan.map(|plan| context.plan(plan));
             if let Some(plan) = plan {
-                customer.fill(now, plan);
+                customer.refill(now, plan);
             }
             customer.in_flight > 0
                 || now - customer.last_seen_at < MAX_IDLE_TIME
@@ -160,11 +161,11 @@
         });
     }
 
-    /// Brings all quotas and ceilings up to now.
-    pub(super) fn fill_all(&mut self, now: Timestamp, plans: &[Plan]) {
+    /// Refills all quotas and ceilings up to `now`.
+    pub(super) fn refill_all(&mut self, now: Timestamp, plans: &[Plan]) {
         for customer in self.customers.values_mut() {
             if let Some(plan) = customer.plan {
-                customer.fill(now, &plans[plan.0]);
+                customer.refill(now, &plans[plan.0]);
             }
         }
     }
--- a/src/decision/quota/messages.rs
+++ b/src/decision/quota/messages.rs
@@ -1,28 +1,27 @@
-//! What nodes exchange about a customer's quota and ceiling, apart from its form on the wire
-//! ([`crate::gossip::codec`]).
+//! Messages about a customer's quota and ceiling, independent of their encoding ([`crate::gossip::codec`]).
 
 use crate::api::{NodeSet, PlanId};
 
-/// A running total is encoded in quarters of a unit.
+/// Running totals are encoded in steps of 1/4 unit.
 const CODES_PER_UNIT: f64 = 4.0;
-/// A running total is sent modulo 4096: two base-64 digits of a message.
+/// Running totals are sent modulo 4096: two base64 digits of a message.
 const CODE_MASK: u32 = 0xfff;
 
-/// Codes from one total to another above which the other is the earlier one: half of what a code can express.
-const MAX_CODES_AHEAD: u32 = CODE_MASK / 2;
+/// Maximum distance, in codes, by which a total counts as later than another one: half of the range.
+const MAX_FORWARD_DISTANCE: u32 = CODE_MASK / 2;
 
-/// A running total of units in quarters of a unit, modulo 4096. A receiver computes the difference to the total before, so
-/// that a lost report is made up for by the next.
+/// A running total of units in steps of 1/4 unit, modulo 4096. A receiver computes the difference from the previous
+/// total, so that the next report makes up for a lost one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WrappingTotal(u32);
 
 impl WrappingTotal {
-    /// A total of units.
+    /// Creates a total from units.
     pub fn from_units(units: f64) -> Self {
         WrappingTotal((units * CODES_PER_UNIT).round() as u64 as u32 & CODE_MASK)
     }
 
-    /// A total by its code.
+    /// Creates a total from its code.
     pub fn from_code(code: u32) -> Self {
         WrappingTotal(code)
     }
@@ -37,9 +36,9 @@
         f64::from(self.codes_since(earlier)) / CODES_PER_UNIT
     }
 
-    /// True where this total is the lower one of the two, as far as half of what a code can express tells.
+    /// Returns true if this total is lower than `other`, assuming that they differ by at most half of the range.
     pub fn is_below(self, other: WrappingTotal) -> bool {
-        self.codes_since(other) > MAX_CODES_AHEAD
+        self.codes_since(other) > MAX_FORWARD_DISTANCE
     }
 
     fn codes_since(self, earlier: WrappingTotal) -> u32 {
@@ -47,22 +46,22 @@
     }
 }
 
-/// A customer's use through the node that reports it.
+/// A customer's usage through the reporting node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsageReport {
     /// The customer's plan.
     pub plan: PlanId,
-    /// The nodes that the customer's requests come in through.
+    /// The nodes through which the customer's requests arrive.
     pub nodes: NodeSet,
-    /// All units forwarded in this incarnation.
+    /// Total units forwarded in this incarnation.
     pub forwarded: WrappingTotal,
-    /// All units requested in this incarnation.
+    /// Total units requested in this incarnation.
     pub requested: WrappingTotal,
-    /// Level of the quota as the sender estimates it, as a fraction of the burst, -1 to 1.
+    /// Level of the quota as estimated by the sender, as a fraction of the burst, -1 to 1.
     pub quota_level: f64,
 }
 
-/// What a customer's aggregator has summed over the customer's nodes.
+/// A customer's usage over all its nodes, as summed by an aggregator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AggregateUpdate {
     /// Units requested per second.
