--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -1,8 +1,9 @@
-//! Quotas, ceilings and concurrency limits, which hold for each customer over all nodes together.
+//! Quotas, ceilings and concurrency limits, which apply to each customer over all nodes together.
 //!
-//! [`QuotaLedger`] owns all that is known of customers. A request is recorded, admitted or not (`limits`), and charged.
-//! Gossip takes from the ledger what is due to peers and hands it what came in: usage reports (`reports`), an aggregator's sums
-//! (`aggregation`) and grants of a ceiling (`grants`). Nothing outside this module reads or writes a customer's entry.
+//! [`QuotaLedger`] owns all state about customers. A request is recorded, admitted or rejected (`limits`), and
+//! charged. Gossip takes the messages that are due from the ledger and passes received ones to it: usage reports
+//! (`reports`), an aggregator's aggregates (`aggregation`) and grants of a ceiling (`grants`). A customer's entry is
+//! not accessed outside this module.
 
 mod aggregate;
 mod aggregation;
@@ -26,15 +27,15 @@
 
 use super::context::Context;
 
-/// Time constant of customers' rates: a few requests of a busy customer.
-pub(super) const RATE_MEMORY: TimeSpan = TimeSpan::from_seconds(1.0);
-/// Time over which what is left in an empty quota, or its debt, counts in the admission probability.
+/// Time constant of customers' rates: long enough for a few requests of a busy customer.
+pub(super) const RATE_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(1.0);
+/// Duration over which the remaining units of an empty quota, or its debt, are spread in the admission probability.
 const DEBT_HORIZON: TimeSpan = TimeSpan::from_seconds(1.0);
-/// Lowest receive limit that spacings are computed with, in messages per second.
+/// Minimum receive limit, in messages per second, that message intervals are computed with.
 const MIN_MESSAGES_PER_SECOND: f64 = 0.1;
 
-/// Spacing of messages that use a fraction of what a node may receive.
-fn spacing(context: &Context<'_>, fraction: f64) -> TimeSpan {
+/// Interval between messages that use `fraction` of a node's receive limit.
+fn message_interval(context: &Context<'_>, fraction: f64) -> TimeSpan {
     let messages_per_second = fraction * context.settings().gossip_messages_per_second;
     TimeSpan::from_seconds(1.0 / messages_per_second.max(MIN_MESSAGES_PER_SECOND))
 }
--- a/src/decision/quota/peer_usage.rs
+++ b/src/decision/quota/peer_usage.rs
@@ -1,40 +1,41 @@
-//! What a peer last reported of a customer.
+//! A peer's last report of a customer.
 
 use applewall_node_types::{TimeSpan, Timestamp};
 
-use super::ceiling::GRANT_MEMORY;
+use super::ceiling::GRANT_TIME_CONSTANT;
 use super::messages::WrappingTotal;
-use super::RATE_MEMORY;
+use super::RATE_TIME_CONSTANT;
 use crate::decision::decaying_rate::DecayingRate;
 
-/// Seconds of a peer's demand that the ceiling reserve grants it in advance.
+/// Duration of a peer's demand that the ceiling reserve grants it in advance.
 const GRANT_HORIZON: TimeSpan = TimeSpan::from_seconds(1.0);
 
-/// Longest time after a report in which a lower total is one that fell, or of an earlier report that arrives late. Longer after
-/// it, the total has gone round.
-const MAX_TIME_OF_LOWER_TOTAL: TimeSpan = TimeSpan::from_seconds(2.0);
+/// Time after a report within which a lower total either has fallen or belongs to an earlier report that arrives
+/// late. After a longer time, the total has wrapped around.
+const MAX_REORDERING_TIME: TimeSpan = TimeSpan::from_seconds(2.0);
 
 /// Units that a report adds to a peer's totals.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ReportedUnits {
-    /// Units requested since the report before.
+    /// Units requested since the previous report.
     pub(super) requested: f64,
-    /// Units forwarded since the report before; negative where costs were settled below their estimates.
+    /// Units forwarded since the previous report; negative if actual costs were below their estimates.
     pub(super) forwarded: f64,
 }
 
-/// A peer's totals, its demand, and what it was granted.
+/// A peer's totals, its demand, and its granted units.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PeerUsage {
     forwarded: WrappingTotal,
     requested: WrappingTotal,
     demand: DecayingRate,
-    /// Units that the ceiling reserve granted it and that it has not used yet, as a rate over [`GRANT_MEMORY`].
+    /// Units that the ceiling reserve granted it and that it has not used yet, as a rate over
+    /// [`GRANT_TIME_CONSTANT`].
     granted: DecayingRate,
 }
 
 impl PeerUsage {
-    /// A peer's use as another process had it.
+    /// Restores a peer's usage as known to another process.
     pub(super) fn restore(
         forwarded: WrappingTotal,
         requested: WrappingTotal,
@@ -49,13 +50,13 @@
         }
     }
 
-    /// Totals of units forwarded and requested, the demand, and the units granted.
+    /// Returns the totals of units forwarded and requested, the demand, and the granted units.
     pub(super) fn into_parts(self) -> (WrappingTotal, WrappingTotal, DecayingRate, DecayingRate) {
         (self.forwarded, self.requested, self.demand, self.granted)
     }
 
-    /// Replaces the totals by those of a report and returns what they add, each up to a limit. The total of requested units never
-    /// falls: a lower one is of an earlier report, whose units the last one had.
+    /// Replaces the totals by those of a report and returns the units that they add, each up to `limit`. The total of
+    /// requested units never falls: a lower one belongs to an earlier report, whose units are already counted.
     pub(super) fn replace_totals(
         &mut self,
         now: Timestamp,
@@ -63,7 +64,7 @@
         requested: WrappingTotal,
         limit: f64,
     ) -> ReportedUnits {
-        let is_recent = now - self.last_reported_at() < MAX_TIME_OF_LOWER_TOTAL;
+        let is_recent = now - self.last_reported_at() < MAX_REORDERING_TIME;
         if is_recent && requested.is_below(self.requested) {
             return ReportedUnits::default();
         }
@@ -81,20 +82,20 @@
         added
     }
 
-    /// Restarts the totals: the peer is a new process, whose totals begin at zero.
+    /// Resets the totals, which begin at zero after the peer's restart.
     pub(super) fn restart_totals(&mut self) {
         self.forwarded = WrappingTotal::default();
         self.requested = WrappingTotal::default();
     }
 
-    /// Counts units that were requested through the peer.
+    /// Adds units that were requested through the peer.
     pub(super) fn add_demand(&mut self, now: Timestamp, units: f64) {
-        self.demand.add(now, units, RATE_MEMORY);
+        self.demand.add(now, units, RATE_TIME_CONSTANT);
     }
 
-    /// Units requested through the peer per second.
+    /// Units requested per second through the peer.
     pub(super) fn demand(&self, now: Timestamp) -> f64 {
-        self.demand.read(now, RATE_MEMORY)
+        self.demand.read(now, RATE_TIME_CONSTANT)
     }
 
     /// When the peer last reported units.
@@ -102,12 +103,13 @@
         self.demand.updated_at()
     }
 
-    /// Units granted to the peer and not known to be used or lost.
+    /// Units granted to the peer that are not known to be used or lost.
     pub(super) fn granted_units(&self, now: Timestamp) -> f64 {
-        self.granted.read_amount(now, GRANT_MEMORY)
+        self.granted.read_amount(now, GRANT_TIME_CONSTANT)
     }
 
-    /// Units that the peer may soon need beyond those granted: its demand over [`GRANT_HORIZON`] and its largest request.
+    /// Units that the peer may need soon beyond those granted: its demand over [`GRANT_HORIZON`] plus its largest
+    /// request.
     pub(super) fn wanted_grant(
         &self,
         now: Timestamp,
@@ -118,8 +120,8 @@
         wanted - outstanding
     }
 
-    /// Sets the units granted and not used yet.
+    /// Sets the granted units that are not used yet.
     pub(super) fn set_granted(&mut self, now: Timestamp, units: f64) {
-        self.granted = DecayingRate::of_amount(now, units, GRANT_MEMORY);
+        self.granted = DecayingRate::of_amount(now, units, GRANT_TIME_CONSTANT);
     }
 }
--- a/src/decision/quota/reports.rs
+++ b/src/decision/quota/reports.rs
@@ -1,4 +1,4 @@
-//! Usage reports: which customers' use is due to be reported to which aggregators, and what a peer's report changes.
+//! Usage reports: which reports are due to which aggregators, and how a peer's report is applied.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 
 use super::aggregate::TOLERATED_ERROR;
 use super::ledger::QuotaLedger;
+use super::message_interval;
 use super::messages::{AggregateUpdate, UsageReport};
-use super::spacing;
 use crate::api::{NodeId, Plan};
 use crate::decision::context::Context;
 use crate::decision::fleet_size::{REPORT_FRACTION, REPORT_INTERVAL};
 use crate::decision::hashing::CustomerFingerprint;
 
-/// Reports that are due to one peer, as one or more messages.
+/// Reports due to one peer, which are sent in one or more messages.
 pub(crate) struct DueReports {
     /// The receiver.
     pub to: NodeId,
@@ -21,19 +21,19 @@
     pub reports: Vec<(CustomerFingerprint, UsageReport)>,
 }
 
-/// What the holder of a ceiling reserve answers a peer's report with.
+/// Reply of the holder of a ceiling reserve to a peer's report.
 #[derive(Default)]
 pub(crate) struct ReportAnswer {
-    /// The aggregate, where the peer's estimate of the quota is off.
+    /// The aggregate, if the peer's estimate of the quota is inaccurate.
     pub correction: Option<AggregateUpdate>,
-    /// Units of the ceiling.
+    /// Granted units of the ceiling.
     pub grant: Option<f64>,
 }
 
 impl QuotaLedger {
-    /// Takes out the reports that are due now to the aggregators of customers whose use was not reported yet: in a small
-    /// fleet all together, in a large one each as soon as the receive limit lets it, to the first aggregator before the
-    /// others.
+    /// Takes the reports that are due now to the aggregators of queued customers. In a small fleet, all reports are
+    /// sent together. In a large one, each is sent alone as soon as the receive limit allows it, to the first
+    /// aggregator before the others.
     pub(crate) fn take_due_reports(&mut self, context: &Context<'_>) -> Vec<DueReports> {
         if self.unreported.is_empty() || context.now() < self.next_report_at {
             return Vec::new();
@@ -51,7 +51,7 @@
         let mut by_peer: BTreeMap<NodeId, Vec<(CustomerFingerprint, UsageReport)>> =
             BTreeMap::new();
         while let Some(customer) = self.unreported.pop_front() {
-            let Some(report) = self.report_of(context, customer) else {
+            let Some(report) = self.take_report(context, customer) else {
                 continue;
             };
             for aggregator in self.known(customer).aggregators.ranked() {
@@ -63,9 +63,9 @@
                 }
             }
         }
-        // Spaced so that the reports of all nodes use no more than their fraction of the receive limit.
+        // The interval keeps the reports of all nodes within their fraction of the receive limit.
         self.next_report_at =
-            context.now() + spacing(context, REPORT_FRACTION) * by_peer.len() as f64;
+            context.now() + message_interval(context, REPORT_FRACTION) * by_peer.len() as f64;
         by_peer
             .into_iter()
             .map(|(to, reports)| DueReports { to, reports })
@@ -74,13 +74,13 @@
 
     fn take_reports_one_by_one(&mut self, context: &Context<'_>) -> Vec<DueReports> {
         let mut due = Vec::new();
-        // The second aggregator gets a report too while the limit has been unused for half an interval.
+        // The other aggregators get a report only if the limit has been unused for half an interval.
         let has_spare_before = context.now() - REPORT_INTERVAL / 2.0;
         while self.next_report_at <= context.now() {
             let Some(customer) = self.unreported.pop_front() else {
                 break;
             };
-            let Some(report) = self.report_of(context, customer) else {
+            let Some(report) = self.take_report(context, customer) else {
                 continue;
             };
             let entry = &self.customers[&customer];
@@ -88,7 +88,7 @@
             for (rank, aggregator) in entry.aggregators.ranked().iter().enumerate() {
                 let is_due = rank == 0 || all_aggregate || self.next_report_at <= has_spare_before;
                 if *aggregator != context.node() && is_due {
-                    self.next_report_at += spacing(context, REPORT_FRACTION);
+                    self.next_report_at += message_interval(context, REPORT_FRACTION);
                     due.push(DueReports {
                         to: *aggregator,
                         reports: vec![(customer, report)],
@@ -99,8 +99,8 @@
         due
     }
 
-    /// The report of a customer that was taken out of the queue, where its plan is known.
-    fn report_of(
+    /// Returns the report of a customer that was taken from the queue, if its plan is known.
+    fn take_report(
         &mut self,
         context: &Context<'_>,
         customer: CustomerFingerprint,
@@ -109,7 +109,7 @@
         entry.unreported = false;
         let plan_id = entry.plan?;
         let plan = context.plan(plan_id);
-        entry.fill(context.now(), plan);
+        entry.refill(context.now(), plan);
         let (forwarded, requested) = entry.reported_totals();
         Some(UsageReport {
             plan: plan_id,
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Applies a peer's report. One that contradicts the settings or the customer's nodes changes nothing.
+    /// Applies a peer's report. A report that contradicts the settings or the customer's nodes changes nothing.
     pub(crate) fn receive_report(
         &mut self,
         context: &mut Context<'_>,
@@ -128,7 +128,7 @@
         customer: CustomerFingerprint,
         report: UsageReport,
     ) -> ReportAnswer {
-        if !self.may_enter(customer) || !is_possible(context, report) {
+        if !self.may_track(customer) || !is_valid(context, report) {
             return ReportAnswer::default();
         }
         self.register_from_report(context, customer, report);
@@ -141,12 +141,12 @@
         let now = context.now();
         let max_units = context.settings().max_request_units;
         let entry = self.entry(now, customer);
-        entry.fill(now, plan);
+        entry.refill(now, plan);
         let forwarded_units = entry.add_peer_usage(now, from, report, plan, max_units);
         self.answer_report(context, customer, from, report.quota_level, forwarded_units)
     }
 
-    /// Enters a customer that only a peer has had requests of so far. Of a report, only the quota's level is taken over.
+    /// Adds a customer that has had requests only at peers so far. Only the quota's level is taken from the report.
     fn register_from_report(
         &mut self,
         context: &mut Context<'_>,
@@ -160,9 +160,9 @@
         }
     }
 
-    /// As a customer's first aggregator in a large set, answers a peer's report. A peer whose estimate of the quota is off
-    /// is corrected at once, since each peer sends requests of the customer seldom; and the ceiling reserve grants what the
-    /// peer may soon need.
+    /// As a customer's first aggregator in a large set, answers a peer's report. A peer whose estimate of the quota
+    /// is inaccurate is corrected at once, since each peer rarely has requests of the customer; and the ceiling
+    /// reserve grants what the peer may need soon.
     fn answer_report(
         &mut self,
         context: &Context<'_>,
@@ -180,7 +180,7 @@
         }
         let now = context.now();
         let level = plan.quota_level(entry.quota_units);
-        let is_off = (reported_level - level).abs() > TOLERATED_ERROR;
+        let is_inaccurate = (reported_level - level).abs() > TOLERATED_ERROR;
         let correction = entry.own_aggregate(now).to_update(plan);
         let max_units = context.settings().max_request_units;
         let grant = if plan.has_ceiling() {
@@ -189,17 +189,17 @@
             None
         };
         ReportAnswer {
-            correction: (is_off && plan.has_quota()).then_some(correction),
+            correction: (is_inaccurate && plan.has_quota()).then_some(correction),
             grant,
         }
     }
 
-    /// True where a customer is known, or may be entered.
-    pub(super) fn may_enter(&self, customer: CustomerFingerprint) -> bool {
+    /// Returns true if the customer is tracked already or may be added.
+    pub(super) fn may_track(&self, customer: CustomerFingerprint) -> bool {
         !self.is_full() || self.customers.contains_key(&customer)
     }
 
-    /// True unless a customer with a known plan has no requests through a node.
+    /// Returns true unless the customer's plan is known and `node` is not among its nodes.
     pub(super) fn accepts_from(
         &self,
         context: &Context<'_>,
@@ -213,8 +213,8 @@
     }
 }
 
-/// False where a report contradicts the settings.
-fn is_possible(context: &Context<'_>, report: UsageReport) -> bool {
+/// Returns false if a report contradicts the settings.
+fn is_valid(context: &Context<'_>, report: UsageReport) -> bool {
     let node_count = context.node_count();
     report.plan.0 < context.settings().plans.len()
         && report.nodes.first.0 < node_count
@@ -222,8 +222,8 @@
 }
 
 impl super::customer::CustomerQuota {
-    /// Adds a peer's use since its last report to the demand, and drains the quota by it, or gives back what was settled
-    /// below its estimate. Returns the units forwarded.
+    /// Adds a peer's usage since its last report to the demand and drains the quota by it, or refunds the quota if
+    /// actual costs were below their estimates. Returns the units forwarded.
     fn add_peer_usage(
         &mut self,
         now: Timestamp,
@@ -234,7 +234,7 @@
     ) -> f64 {
         self.last_seen_at = now;
         let is_first_report = !self.peers.contains_key(&peer);
-        // The first totals of a peer may be of any age: they count for one request at most.
+        // The first totals of a peer may be of any age, so they count for at most one request.
         let limit = if is_first_report {
             max_request_units
         } else {
@@ -245,10 +245,10 @@
         usage.add_demand(now, added.requested);
         self.demand
             .total
-            .add(now, added.requested, super::RATE_MEMORY);
+            .add(now, added.requested, super::RATE_TIME_CONSTANT);
         self.demand
             .peers_forwarded
-            .add(now, added.forwarded.max(0.0), super::RATE_MEMORY);
+            .add(now, added.forwarded.max(0.0), super::RATE_TIME_CONSTANT);
         if is_first_report && self.aggregators.includes_all_of(self.nodes) {
             let reported_units = report.quota_level * plan.quota_burst_units;
             self.quota_units = self.quota_units.min(reported_units);
--- a/src/decision/quota/snapshot.rs
+++ b/src/decision/quota/snapshot.rs
@@ -1,4 +1,5 @@
-//! The form of the ledger's customers in the state snapshot, and what a hot restart divides between two processes.
+//! Encoding of the ledger's customers in the state snapshot, and the division of their units between two processes in
+//! a hot restart.
 
 use std::collections::BTreeMap;
 
@@ -16,10 +17,11 @@
 use crate::decision::decaying_rate::DecayingRate;
 use crate::decision::hashing::CustomerFingerprint;
 
-/// Fraction of the units under a ceiling that the new process gets; the rest is for what this one still answers.
+/// Fraction of the units of a ceiling that the new process gets; the rest is for the requests that this one still
+/// handles.
 const HANDED_OVER_FRACTION: f64 = 0.5;
 
-/// What a peer reported, in the order of the state snapshot.
+/// A peer's report, in the field order of the state snapshot.
 #[derive(Serialize, Deserialize)]
 struct PeerUsageSnapshot {
     forwarded: u32,
@@ -28,7 +30,7 @@
     granted: DecayingRate,
 }
 
-/// An aggregate, in the order of the state snapshot.
+/// An aggregate, in the field order of the state snapshot.
 #[derive(Serialize, Deserialize)]
 struct AggregateSnapshot {
     demand: f64,
@@ -36,7 +38,7 @@
     at: Timestamp,
 }
 
-/// A customer, in the order of the state snapshot.
+/// A customer, in the field order of the state snapshot.
 #[derive(Serialize, Deserialize)]
 pub(in crate::decision) struct CustomerSnapshot {
     plan: Option<PlanId>,
@@ -50,7 +52,7 @@
     ceiling_reserve: Option<f64>,
     ceiling_dither: f64,
     unreported: bool,
-    filled_at: Timestamp,
+    refilled_at: Timestamp,
     last_seen_at: Timestamp,
     known_since: Timestamp,
     own_demand: DecayingRate,
@@ -66,7 +68,8 @@
 }
 
 impl CustomerSnapshot {
-    /// True where the customer refers to a plan of so many, and its nodes are known with the plan.
+    /// Returns true if the plan, if there is one, is below `plans` and has aggregators, and the set of nodes is not
+    /// empty.
     pub(in crate::decision) fn is_consistent(&self, plans: usize) -> bool {
         let plan_is_consistent = |plan: PlanId| plan.0 < plans && !self.aggregators.is_empty();
         self.node_set_size > 0 && self.plan.is_none_or(plan_is_consistent)
@@ -120,14 +123,14 @@
             node_set_size: customer.nodes.size,
             first_node: customer.nodes.first,
             aggregators: customer.aggregators.ranked().to_vec(),
-            is_aggregator: customer.aggregators.is_own(),
+            is_aggregator: customer.aggregators.includes_this_node(),
             quota_units: customer.quota_units,
             ceiling_units: customer.ceiling.units(),
             base_allocation: customer.ceiling.base_allocation(),
             ceiling_reserve: customer.ceiling.reserve(),
             ceiling_dither: customer.ceiling.dither(),
             unreported: customer.unreported,
-            filled_at: customer.filled_at,
+            refilled_at: customer.refilled_at,
             last_seen_at: customer.last_seen_at,
             known_since: customer.known_since,
             own_demand: customer.demand.own,
@@ -147,8 +150,8 @@
 }
 
 impl From<CustomerSnapshot> for CustomerQuota {
-    /// The customer as the new process has it: requests in flight are the other process's, and the queue of unreported
-    /// customers did not come along, so each is entered again with its next request.
+    /// Restores the customer in the new process. Requests in flight stay with the other process. The queue of reports
+    /// is not transferred, so each customer is queued again with its next request.
     fn from(snapshot: CustomerSnapshot) -> Self {
         let peers = snapshot.peers.into_iter();
         CustomerQuota {
@@ -166,7 +169,7 @@
                 snapshot.ceiling_dither,
             ),
             unreported: false,
-            filled_at: snapshot.filled_at,
+            refilled_at: snapshot.refilled_at,
             last_seen_at: snapshot.last_seen_at,
             known_since: snapshot.known_since,
             demand: Demand {
@@ -186,14 +189,14 @@
 }
 
 impl QuotaLedger {
-    /// All customers as the new process takes them over. This process has its fraction of each ceiling's units
-    /// from then on, and no reserve.
+    /// Returns all customers as the new process takes them over. This process keeps its fraction of each ceiling's
+    /// units and no reserve.
     pub(in crate::decision) fn hand_over(
         &mut self,
         now: Timestamp,
         plans: &[Plan],
     ) -> BTreeMap<CustomerFingerprint, CustomerSnapshot> {
-        self.fill_all(now, plans);
+        self.refill_all(now, plans);
         self.customers
             .iter_mut()
             .map(|(customer, entry)| {
@@ -208,12 +211,12 @@
             .collect()
     }
 
-    /// Goes on alone after the process that was to take over has failed.
+    /// Resumes after the process that was to take over has failed.
     pub(in crate::decision) fn resume(&mut self, now: Timestamp, plans: &[Plan]) {
-        self.fill_all(now, plans);
+        self.refill_all(now, plans);
     }
 
-    /// Takes over another process's customers.
+    /// Takes over the customers of another process.
     pub(in crate::decision) fn take_over(
         &mut self,
         customers: BTreeMap<CustomerFingerprint, CustomerSnapshot>,
--- a/src/decision/rejection.rs
+++ b/src/decision/rejection.rs
@@ -1,45 +1,45 @@
-//! Why a request is rejected, and the wait that the client is advised.
+//! Reasons for rejecting a request, and the retry delay that the client is advised.
 
 use applewall_node_types::TimeSpan;
 
 use super::context::Context;
 use crate::api::{Action, ClassId, RequestId};
 
-/// Wait that a rejection advises, as a fraction of the latency objective, where the quota or a failed attempt is the reason.
+/// Advised retry delay, as a fraction of the latency objective, after a rejection for a quota or for failed attempts.
 const QUOTA_RETRY_AFTER: f64 = 0.125;
-/// Wait that a rejection advises, as a fraction of the latency objective, where load is the reason.
+/// Advised retry delay, as a fraction of the latency objective, after a rejection for load.
 const LOAD_RETRY_AFTER: f64 = 0.25;
 
-/// Why a request is rejected.
+/// The reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rejection {
-    /// The customer's quota, ceiling or concurrency limit.
+    /// The customer exceeds its quota, ceiling or concurrency limit.
     CustomerLimit,
-    /// The backlog limit.
+    /// The backlog limit is exceeded.
     Backlog,
-    /// The ladder's filter in force.
+    /// The ladder's filter in force does not admit the request.
     Ladder,
-    /// No endpoint may have the request.
+    /// No endpoint can take the request.
     NoEndpoint,
-    /// Attempts failed, and none is left.
+    /// Attempts failed, and no further one is allowed.
     AttemptsFailed,
 }
 
-/// How many requests were rejected before any attempt, by reason.
+/// Numbers of requests rejected before any attempt, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectionCounts {
-    /// By the customer's quota, ceiling or concurrency limit.
+    /// Rejected by the customer's quota, ceiling or concurrency limit.
     pub customer_limit: u64,
-    /// By the backlog limit.
+    /// Rejected by the backlog limit.
     pub backlog: u64,
-    /// By the ladder's filter in force.
+    /// Rejected by the ladder's filter in force.
     pub ladder: u64,
-    /// For lack of an endpoint that may have the request.
+    /// Rejected because no endpoint could take the request.
     pub no_endpoint: u64,
 }
 
 impl RejectionCounts {
-    /// Counts a rejection; one after failed attempts is not counted here.
+    /// Counts a rejection. Rejections after failed attempts are not counted.
     pub(super) fn count(&mut self, rejection: Rejection) {
         let count = match rejection {
             Rejection::CustomerLimit => &mut self.customer_limit,
@@ -53,7 +53,8 @@
 }
 
 impl Rejection {
-    /// The final answer. The wait that it advises is a fraction of the objective, so that a retry can still be in time.
+    /// The action that rejects the request. The advised delay is a fraction of the objective, so that a retry can
+    /// still meet it.
     pub(super) fn to_action(
         self,
         context: &Context<'_>,
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: the budget, which requests may have another attempt, and when an attempt is given up for one.
+//! Retries: the retry budget, the requests that may be retried, and the timeout of each attempt.
 
 use applewall_node_types::{TimeSpan, Timestamp};
 
@@ -7,73 +7,74 @@
 use super::rejection::Rejection;
 use crate::api::{Action, Idempotency, RequestId};
 
-/// Retry tokens earned by each request.
+/// Retry tokens deposited by each request.
 const TOKENS_PER_REQUEST: f64 = 0.2;
-/// Tokens saved at most, as seconds of requests.
-const SAVED_TIME: TimeSpan = TimeSpan::from_seconds(0.4);
-/// Tokens that may be saved however few requests come; a new process starts with them.
+/// Maximum number of saved tokens, as a duration of request arrivals.
+const MAX_SAVED_TIME: TimeSpan = TimeSpan::from_seconds(0.4);
+/// Minimum capacity of the budget, however few requests arrive; a new process starts with this many tokens.
 const MIN_CAPACITY: f64 = 3.0;
-/// Tokens that may be saved however many requests come.
+/// Maximum capacity of the budget, however many requests arrive.
 const MAX_CAPACITY: f64 = 20.0;
-/// Fraction of the deduplication window that is used, since an attempt takes time to arrive.
-const USED_WINDOW: f64 = 0.9;
-/// Fraction of the latency objective after which an attempt is given up for another: its response would be late, and earn
-/// a fraction of its weight.
+/// Fraction of the deduplication window that is used, because an attempt takes time to reach the endpoint.
+const USED_WINDOW_FRACTION: f64 = 0.9;
+/// Timeout of an attempt that can be retried, in latency objectives: beyond it the response would be late and earn
+/// only a fraction of its weight.
 const ATTEMPT_TIMEOUT: f64 = 1.2;
-/// Usual latencies after which an attempt is given up at the earliest.
+/// Minimum timeout of an attempt that can be retried, in usual latencies.
 const MIN_TIMEOUT_LATENCIES: f64 = 4.0;
-/// Time left to the client, in such timeouts, below which an attempt gets all of it: another would come too late.
+/// Remaining time, in such timeouts, below which an attempt gets all of it, because another one would be too late.
 const MIN_TIMEOUTS_LEFT: f64 = 1.5;
-/// Usual latencies that must be left to the client for another attempt.
+/// Remaining time, in usual latencies, that another attempt needs.
 const MIN_LATENCIES_LEFT: f64 = 0.5;
 
-/// Tokens that limit retries to a fraction of the requests.
+/// A token bucket that limits retries to a fraction of the requests.
 pub(super) struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// The budget of a new process.
+    /// Creates the budget of a new process.
     pub(super) fn new() -> Self {
         RetryBudget {
             tokens: MIN_CAPACITY,
         }
     }
 
-    /// The budget of another process.
+    /// Restores the budget of another process.
     pub(super) fn with_tokens(tokens: f64) -> Self {
         RetryBudget { tokens }
     }
 
-    /// Retries that may be sent now, possibly with a fraction.
+    /// Number of retries that may be sent now; not necessarily an integer.
     pub(super) fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Earns the tokens of a request, at so many requests per second.
-    pub(super) fn earn(&mut self, requests_per_second: f64) {
-        let capacity = requests_per_second * SAVED_TIME.as_seconds();
+    /// Deposits the tokens of one request. `requests_per_second`: the current rate of requests, which bounds the
+    /// capacity.
+    pub(super) fn deposit(&mut self, requests_per_second: f64) {
+        let capacity = requests_per_second * MAX_SAVED_TIME.as_seconds();
         let capacity = capacity.clamp(MIN_CAPACITY, MAX_CAPACITY);
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(capacity);
     }
 
-    /// True where there is a token for a retry.
+    /// Returns true if there is a token for a retry.
     pub(super) fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes the token of a retry that was sent.
-    pub(super) fn take(&mut self) {
+    /// Withdraws the token of a retry that was sent.
+    pub(super) fn withdraw(&mut self) {
         self.tokens -= 1.0;
     }
 }
 
-/// How long after a first attempt that may have executed a request another attempt does no harm.
+/// How long after the first attempt that may have executed a request another attempt is safe.
 #[derive(Clone, Copy)]
 enum RetryWindow {
     /// Never.
     Closed,
-    /// For so long.
+    /// For this duration.
     For(TimeSpan),
     /// Always.
     Unlimited,
@@ -86,14 +87,14 @@
             Idempotency::IdempotencyKey {
                 deduplication_window_ns,
                 ..
-            } => {
-                RetryWindow::For(TimeSpan::from_nanoseconds(deduplication_window_ns) * USED_WINDOW)
-            }
+            } => RetryWindow::For(
+                TimeSpan::from_nanoseconds(deduplication_window_ns) * USED_WINDOW_FRACTION,
+            ),
             Idempotency::NonIdempotent => RetryWindow::Closed,
         }
     }
 
-    /// True where the window is longer than a span.
+    /// Returns true if the window is longer than `span`.
     fn exceeds(self, span: TimeSpan) -> bool {
         match self {
             RetryWindow::Closed => false,
@@ -102,17 +103,17 @@
         }
     }
 
-    /// True where an attempt that was sent at a moment can be repeated now.
+    /// Returns true if an attempt sent at `sent_at` can safely be repeated now.
     fn is_open(self, now: Timestamp, sent_at: Timestamp) -> bool {
         self.exceeds(now - sent_at)
     }
 }
 
-/// Timeout of a request's next attempt; `None`: all the time that is left to the client. `usual_latency`: of the request's
-/// kind.
+/// Timeout of a request's next attempt, or `None` if it may take all of the client's remaining time. `usual_latency`:
+/// usual latency of the request's kind.
 ///
-/// An attempt is given up early only where another is allowed and in time: after the latency objective, and not before a few
-/// usual latencies.
+/// An attempt is given up early only if another one is allowed and can still be in time, and then not before the
+/// latency objective and a few usual latencies have passed.
 pub(super) fn attempt_timeout(
     context: &Context<'_>,
     request: &PendingRequest,
@@ -127,7 +128,7 @@
     is_early.then_some(timeout)
 }
 
-/// True where a request may have another attempt, the budget apart: it does no harm, and is in time.
+/// Returns true if another attempt of the request is safe and can be in time. Does not check the retry budget.
 pub(super) fn may_retry(
     context: &Context<'_>,
     request: &PendingRequest,
@@ -143,7 +144,7 @@
         && request.time_left(now) > usual_latency * MIN_LATENCIES_LEFT
 }
 
-/// The final answer after the last attempt. A rejection promises that a retry by the client does no harm.
+/// The final answer after the last attempt. The request is rejected only if a retry by the client does no harm.
 pub(super) fn final_failure(
     context: &Context<'_>,
     id: RequestId,
--- a/src/decision/snapshot.rs
+++ b/src/decision/snapshot.rs
@@ -1,7 +1,8 @@
-//! The state that a hot restart transfers: everything but the requests in flight.
+//! The state that a hot restart transfers: everything except the requests in flight.
 //!
-//! The encoding is positional (postcard with a checksum): the order and the types of the fields are those that earlier
-//! versions read and wrote. Each component defines its own form, so that its private fields may change.
+//! The encoding is positional (postcard with a checksum), so the order and types of the fields must stay as earlier
+//! versions read and wrote them. Each component defines its own snapshot type, so that its private fields can change
+//! independently.
 
 use std::collections::BTreeMap;
 
@@ -17,21 +18,21 @@
 use super::quota::CustomerSnapshot;
 use crate::api::{NodeId, PolicySettings};
 
-/// Detects a damaged snapshot: a wrong number in it would otherwise be noticed only by its consequences.
+/// Detects a corrupted snapshot; a wrong number in it would otherwise show only in wrong decisions.
 const CHECKSUM: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
 
-/// Why a state snapshot cannot be written or used.
+/// The reason why a state snapshot cannot be written or read.
 #[derive(Debug, Error)]
 pub enum SnapshotError {
     /// The encoder or the decoder failed, or the checksum does not match.
-    #[error("the state snapshot is malformed or of another version: {0}")]
+    #[error("malformed state snapshot or incompatible version: {0}")]
     Malformed(#[from] postcard::Error),
-    /// It was written under other classes, plans or machine types.
-    #[error("the state snapshot is of other settings")]
+    /// The snapshot was written with other classes, plans or machine types, or is inconsistent.
+    #[error("state snapshot does not match the settings")]
     OtherSettings,
 }
 
-/// Numbers of classes, plans and machine types, which the indexes in a snapshot refer to.
+/// Numbers of classes, plans and machine types, which bound the indexes in a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct SnapshotShape {
     classes: usize,
@@ -49,7 +50,7 @@
     }
 }
 
-/// All that is transferred. Moments are those of the caller's clock, which has to be transferred too.
+/// The transferred state. Its timestamps are of the caller's clock, whose origin must be transferred as well.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Snapshot {
     pub(super) shape: SnapshotShape,
@@ -66,12 +67,12 @@
 }
 
 impl Snapshot {
-    /// The bytes to transfer.
+    /// Encodes the snapshot.
     pub(super) fn encode(&self) -> Result<Vec<u8>, SnapshotError> {
         Ok(postcard::to_stdvec_crc32(self, CHECKSUM.digest())?)
     }
 
-    /// Reads a snapshot and checks that every index in it refers to something: the bytes may be anything.
+    /// Decodes a snapshot from untrusted bytes and checks that every index in it is in range.
     pub(super) fn decode(bytes: &[u8], shape: SnapshotShape) -> Result<Self, SnapshotError> {
         let snapshot: Snapshot = postcard::from_bytes_crc32(bytes, CHECKSUM.digest())?;
         if snapshot.shape == shape && snapshot.is_consistent() {
--- a/src/decision/timers.rs
+++ b/src/decision/timers.rs
@@ -1,4 +1,4 @@
-//! The timers that the policy sets, by their tokens.
+//! Tokens of the timers that the policy sets.
 
 use applewall_node_types::TimeSpan;
 
@@ -6,10 +6,9 @@
 
 /// Timer of the monitor interval.
 pub(super) const MONITOR_TIMER: u64 = 1;
-/// Timer after which a failed watch is opened again.
+/// Timer for reopening a failed watch.
 pub(super) const WATCH_TIMER: u64 = 2;
 
-/// Sets a timer.
 pub(super) fn set_timer(after: TimeSpan, token: u64) -> Action {
     Action::SetTimer {
         after_ns: after.as_nanoseconds(),
--- a/src/gossip/codec.rs
+++ b/src/gossip/codec.rs
@@ -1,8 +1,8 @@
-//! Form of the gossip messages: how records are encoded and decoded.
+//! Encoding of gossip messages.
 //!
-//! A message is one character of kind, four digits of the sender's incarnation and records of fixed
-//! width, all in base 64. The kind also names the version of the form: a node of another version
-//! ignores a kind that it does not know.
+//! A message is one character for its kind, four digits for the sender's incarnation, and records of fixed width, all
+//! in base64. The kind also identifies the version of the encoding: a node ignores messages of a kind that it does
+//! not know.
 
 use crate::api::{NodeId, NodeSet, PlanId};
 use crate::decision::hashing::CustomerFingerprint;
@@ -12,45 +12,45 @@
 
 const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 const BITS_PER_DIGIT: u32 = 6;
-/// Longest message, in bytes: the platform's limit for a datagram.
+/// Maximum size of a message, in bytes: the platform's limit for a datagram.
 const MAX_MESSAGE_BYTES: usize = 256;
 /// Digits of the sender's incarnation.
 const INCARNATION_DIGITS: usize = 4;
-/// The kind and the incarnation.
+/// Size of the kind and the incarnation.
 const HEADER_BYTES: usize = 1 + INCARNATION_DIGITS;
-/// Digits of a customer's fingerprint, at the head of each record.
+/// Digits of a customer's fingerprint, which begins each record.
 const FINGERPRINT_DIGITS: usize = 5;
-/// Granted units are sent in quarters.
+/// Granted units are sent in steps of 1/4.
 const CODES_PER_UNIT: f64 = 4.0;
-/// Largest number of two digits.
+/// Largest number that two digits can hold.
 const TWO_DIGITS_MASK: u32 = 0xfff;
-/// Digits of a count of load statistics.
+/// Digits per count of load statistics.
 const COUNT_DIGITS: usize = 2;
 /// Number of counts in load statistics.
 const COUNTS: usize = 9;
-/// Step between the codes of a fraction; levels from -1 to 1 have steps of twice as much.
+/// Difference between the fractions of consecutive codes; levels from -1 to 1 have twice this step.
 const FRACTION_STEP: f64 = 1.0 / 63.0;
 
-/// What one node reports to another about a customer.
+/// A record of a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CustomerRecord {
     /// The customer; [`CustomerRecord::NO_CUSTOMER`] with load statistics.
     pub customer: CustomerFingerprint,
-    /// What is reported.
+    /// The contents.
     pub record: Record,
 }
 
 impl CustomerRecord {
-    /// Stands in the place of a customer with load statistics, which are of no customer.
+    /// Placeholder in records of load statistics, which belong to no customer.
     pub const NO_CUSTOMER: CustomerFingerprint = CustomerFingerprint(0);
 }
 
-/// The kinds of record.
+/// The contents of a record.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Record {
-    /// A customer's use through the sender.
+    /// A customer's usage through the sender.
     Usage(UsageReport),
-    /// What a customer's aggregator has summed.
+    /// A customer's usage over all its nodes, as summed by an aggregator.
     Aggregate(AggregateUpdate),
     /// Units of the ceiling that the sender grants.
     Grant(f64),
@@ -67,7 +67,7 @@
     pub records: Vec<CustomerRecord>,
 }
 
-/// The kinds of message, by their first byte.
+/// The kind of a message, which is its first byte.
 #[derive(Clone, Copy)]
 enum Kind {
     Usage,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Digits of a record after its fingerprint.
+    /// Number of digits of a record after the fingerprint.
     fn body_digits(self) -> usize {
         match self {
             Kind::Usage => 10,
@@ -115,23 +115,23 @@
     }
 }
 
-/// A scale of codes in even steps of the logarithm; code 0 is 0.
+/// A logarithmic scale of codes; code 0 stands for 0.
 struct LogScale {
     /// The value of code 1.
     lowest: f64,
-    /// Factor from one code to the next.
+    /// Ratio of the values of consecutive codes.
     step: f64,
     /// Number of codes.
     codes: u32,
 }
 
-/// Rates, in one digit.
+/// Scale of rates: one digit.
 const RATE_SCALE: LogScale = LogScale {
     lowest: 0.1,
     step: 1.17,
     codes: 64,
 };
-/// Counts of load statistics, in two digits.
+/// Scale of counts of load statistics: two digits.
 const COUNT_SCALE: LogScale = LogScale {
     lowest: 0.001,
     step: 1.005,
@@ -193,7 +193,7 @@
     push_digits(text, code, 2);
 }
 
-/// The order of the counts is that of the message, which older nodes read too.
+/// Encodes the counts in the order of the message, which older nodes read as well.
 fn push_statistics(text: &mut String, statistics: &LoadStatistics) {
     let LoadStatistics {
         outcomes,
@@ -223,8 +223,7 @@
     }
 }
 
-/// Encodes records, all of one kind, into as many messages as they need; no record makes one empty
-/// message.
+/// Encodes records, all of one kind, into as many messages as they need; no records make one empty message.
 pub fn encode(incarnation: u32, records: &[CustomerRecord]) -> Vec<String> {
     let kind = records
         .first()
@@ -279,7 +278,7 @@
         .chunks(COUNT_DIGITS)
         .map(|digits| COUNT_SCALE.decode(number(digits)));
     let mut next = || counts.next().unwrap_or_default();
-    // The fields are read in this order, which is that of the message.
+    // The fields are evaluated in this order, which is that of the message.
     LoadStatistics {
         outcomes: next(),
         slow: next(),
@@ -310,7 +309,7 @@
     }
 }
 
-/// Decodes a message; `None` where any part is malformed.
+/// Decodes a message; `None` if any part is malformed.
 pub fn decode(text: &str) -> Option<Message> {
     let kind = Kind::from_byte(*text.as_bytes().first()?)?;
     let record_digits = FINGERPRINT_DIGITS + kind.body_digits();
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,10 +1,11 @@
-//! Gossip: what nodes report to each other about quotas, ceilings and load, within what each may receive.
+//! Gossip: the messages that nodes exchange about quotas, ceilings and load, within each node's receive limit.
 //!
-//! [`codec`] is the form of the messages. Where every node can report to all others often enough, it does. In a larger fleet
-//! a customer has a few aggregators, found by rendezvous hashing, which sum its use: each request is reported to the first
-//! aggregator at once; the aggregator sends the sum to the customer's nodes when the quota runs short, and to a single peer
-//! whose estimate is off. What is due, and what a record changes, the owners of the state decide
-//! ([`crate::decision`]'s quota ledger and overload control): this module encodes, addresses and hands over.
+//! [`codec`] encodes the messages. If every node can report to all others often enough, it does so. In a larger
+//! fleet, a customer has a few aggregators, determined by rendezvous hashing, which sum its usage. Each request is
+//! reported to the first aggregator at once. An aggregator sends the aggregate to the customer's nodes when the quota
+//! runs short, and to a single peer whose estimate is inaccurate. The owners of the state ([`crate::decision`]'s
+//! quota ledger and overload control) decide what is due and apply received records; this module encodes, addresses
+//! and dispatches messages.
 
 pub mod codec;
 mod receiving;
@@ -18,21 +19,21 @@
 
 use crate::api::NodeId;
 
-/// Incarnations are drawn below this: 24 bits, as messages carry them.
+/// Exclusive upper bound of incarnations: 24 bits, as messages carry them.
 const INCARNATIONS: u32 = 1 << 24;
 
-/// The incarnations of this process and of its peers, and the schedule of gossip rounds.
+/// The incarnations of this process and its peers, and the schedule of gossip rounds.
 pub(crate) struct Gossip {
-    /// Drawn at the start: a change shows peers that this process's totals begin again.
+    /// Drawn at the start. A change tells peers that this process's totals begin again.
     incarnation: u32,
     /// The last incarnation received from each peer.
     peer_incarnations: BTreeMap<NodeId, u32>,
-    /// When load statistics and grants are next sent.
+    /// When the next round of load statistics and grants is sent.
     next_round_at: Timestamp,
 }
 
 impl Gossip {
-    /// The gossip of a process that starts now. Draws its incarnation and the phase of its rounds.
+    /// Creates the gossip of a process that starts now. Draws its incarnation and the phase of its rounds.
     pub(crate) fn new(now: Timestamp, rng: &mut SmallRng) -> Self {
         let incarnation = rng.random_range(0..INCARNATIONS);
         let phase: f64 = rng.random();
@@ -53,13 +54,13 @@
         &self.peer_incarnations
     }
 
-    /// Takes over another process's incarnation, so that its totals go on.
+    /// Takes over the incarnation of another process, so that its totals continue.
     pub(crate) fn take_over(&mut self, incarnation: u32, peer_incarnations: BTreeMap<NodeId, u32>) {
         self.incarnation = incarnation;
         self.peer_incarnations = peer_incarnations;
     }
 
-    /// Number of peers that sent a message.
+    /// Number of peers from which a message was received.
     pub(crate) fn entry_count(&self) -> usize {
         self.peer_incarnations.len()
     }
--- a/src/gossip/receiving.rs
+++ b/src/gossip/receiving.rs
@@ -1,4 +1,4 @@
-//! Receiving: which messages are taken in, and which part of the policy gets each record.
+//! Receiving: validation of messages and dispatch of their records.
 
 use super::codec::{self, CustomerRecord, Message, Record};
 use super::Gossip;
@@ -7,8 +7,8 @@
 use crate::decision::Context;
 
 impl Gossip {
-    /// Decodes a message; `None` where it is malformed in any part, or from no peer. The first message of a peer's new
-    /// process restarts the totals that the peer reports.
+    /// Decodes a message; `None` if any part is malformed or the sender is not a peer. The first message of a peer
+    /// after its restart resets the totals that are known of it.
     pub(crate) fn accept(
         &mut self,
         context: &Context<'_>,
@@ -20,13 +20,13 @@
         if from.0 >= context.settings().node_count || from == context.node() {
             return None;
         }
-        if self.is_restarted(from, message.incarnation) {
+        if self.record_incarnation(from, message.incarnation) {
             quotas.restart_totals_of(from);
         }
         Some(message)
     }
 
-    /// Hands a peer's record of a customer to the ledger, and sends the answer to a report.
+    /// Passes a peer's record of a customer to the ledger, and sends the reply to a report.
     pub(crate) fn receive_customer_record(
         &self,
         context: &mut Context<'_>,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// True where a peer is another process than at its last message.
-    fn is_restarted(&mut self, peer: NodeId, incarnation: u32) -> bool {
+    /// Records a peer's incarnation; returns true if it has changed since the peer's last message.
+    fn record_incarnation(&mut self, peer: NodeId, incarnation: u32) -> bool {
         self.peer_incarnations
             .insert(peer, incarnation)
             .is_some_and(|known| known != incarnation)
--- a/src/gossip/sending.rs
+++ b/src/gossip/sending.rs
@@ -1,4 +1,4 @@
-//! Sending: usage reports, aggregates, grants and load statistics that the components of the policy have due.
+//! Sending of the usage reports, aggregates, grants and load statistics that are due.
 
 use applewall_node_types::TimeSpan;
 
@@ -9,7 +9,7 @@
 use crate::decision::quota::{max_concurrency_rate, QuotaLedger};
 use crate::decision::{Context, OverloadControl};
 
-/// Interval of rounds: load statistics reach hundreds of nodes within 2 s.
+/// Interval of rounds. At this interval, load statistics reach hundreds of nodes within 2 s.
 pub(super) const ROUND_INTERVAL: TimeSpan = TimeSpan::from_seconds(0.2);
 
 impl Gossip {
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Sends a customer's aggregate, if this node is its aggregator and it is due. `latency`: the latency of a request,
-    /// queueing included.
+    /// Sends a customer's aggregate if this node is its aggregator and one is due. `latency`: latency of a request,
+    /// including queueing.
     pub(crate) fn send_due_aggregate(
         &self,
         context: &Context<'_>,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Every [`ROUND_INTERVAL`], sends a peer drawn at random the pooled load statistics, in a large fleet, and the grants
-    /// of ceilings that are due.
+    /// Once per [`ROUND_INTERVAL`], sends the grants of ceilings that are due and, in a large fleet, pooled load
+    /// statistics to a random peer.
     pub(crate) fn send_due_round(
         &mut self,
         context: &mut Context<'_>,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Queues one record to one peer.
+    /// Appends the action that sends one record to one peer.
     pub(super) fn send_one(
         &self,
         peer: NodeId,
@@ -92,7 +92,7 @@
         self.send(peer, &[CustomerRecord { customer, record }], actions);
     }
 
-    /// Queues records as messages to one peer.
+    /// Appends the actions that send records to one peer.
     fn send(&self, peer: NodeId, records: &[CustomerRecord], actions: &mut Vec<Action>) {
         let texts = codec::encode(self.incarnation, records);
         actions.extend(texts.into_iter().map(|text| Action::SendGossip {
--- a/tests/golden_handover.rs
+++ b/tests/golden_handover.rs
@@ -227,7 +227,10 @@
             customers.for_each(|customer| customer.node_set.0 = 0);
         }),
     ] {
-        assert_eq!(refusal(&other), "the state snapshot is of other settings");
+        assert_eq!(
+            refusal(&other),
+            "state snapshot does not match the settings"
+        );
     }
     // A form with fewer fields, as an older process may have, and bytes that are no snapshot.
     let shorter = postcard::to_stdvec_crc32(
@@ -244,7 +247,7 @@
         (&bytes[..bytes.len() / 2], end),
         (&flipped, "Bad CRC while deserializing"),
     ] {
-        let why = format!("the state snapshot is malformed or of another version: {why}");
+        let why = format!("malformed state snapshot or incompatible version: {why}");
         assert_eq!(refusal(bytes), why);
     }
     let mut untouched = DecisionPolicy::new(settings(), 99, END);
