--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,4 +1,4 @@
-//! The smallest ingress: one node, one endpoint, one request.
+//! A minimal ingress: one node, one endpoint, one request.
 
 use applewall::api::{
     Class, ClassId, Endpoint, EndpointState, EndpointUpdateKind, Event, Idempotency, NodeSet, Plan,
@@ -60,7 +60,7 @@
     let update = Event::EndpointUpdate(EndpointUpdateKind::Snapshot, [endpoint()].into());
     policy.handle(0, update, &mut actions);
     policy.handle(1_000_000, Event::Request(request()), &mut actions);
-    // A node carries out each action (sends attempts, answers, sets timers) and reports back by events.
+    // A node executes each action (sends attempts, answers clients, sets timers) and reports the results as events.
     for action in &actions {
         println!("{action:?}");
     }
--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,10 +1,10 @@
-//! What a policy has the node do.
+//! Actions: the outputs of the policy.
 
 use std::fmt;
 
 use super::{EndpointId, NodeId, RequestId};
 
-/// An output of the policy, which the node carries out.
+/// An output of the policy, which the node executes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -13,7 +13,7 @@
         request: RequestId,
         /// The endpoint.
         endpoint: EndpointId,
-        /// Timeout of the attempt; `None`: it may last until the client gives up.
+        /// Timeout of the attempt; `None` if it may last until the client's deadline.
         timeout_ns: Option<u64>,
     },
     /// Stop waiting for an attempt.
@@ -23,45 +23,45 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: rejected. A retry by the client does no harm.
+    /// Reject the request, as its final answer. A retry by the client does no harm.
     Reject {
         /// The request.
         request: RequestId,
-        /// Wait that the client is advised.
+        /// Delay before a retry that the client is advised.
         retry_after_ns: Option<u64>,
     },
-    /// Final answer: failed, possibly executed.
+    /// Fail the request, as its final answer. It may have been executed.
     Fail(RequestId),
     /// Set a timer.
     SetTimer {
         /// Time from now.
         after_ns: u64,
-        /// Returned with [`Event::TimerExpired`](super::Event::TimerExpired).
+        /// Token passed back in [`Event::TimerExpired`](super::Event::TimerExpired).
         token: u64,
     },
-    /// Send a gossip message to one node, or to all.
+    /// Send a gossip message to one node or to all.
     SendGossip {
-        /// The receiver; `None`: all nodes.
+        /// The receiver; `None` for all nodes.
         peer: Option<NodeId>,
         /// The message, at most 256 bytes.
         text: String,
     },
     /// Write a log event.
     Log(LogEvent),
-    /// Open the watch of the endpoint list.
+    /// Start watching the endpoint list.
     WatchEndpoints,
 }
 
-/// What the policy logs.
+/// A log event of the policy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// The ladder has another filter in force.
+    /// The ladder's filter has changed.
     FilterChanged {
-        /// The filter now in force; 0 admits all requests.
+        /// The new filter in force; 0 admits all requests.
         filter: usize,
         /// Load index of the last interval.
         load_index: i32,
-        /// Throughput that the filters are centered on, in cost per second.
+        /// Throughput, in cost per second, around which the filters are spread.
         focal_rate: f64,
     },
 }
--- a/src/api/endpoint.rs
+++ b/src/api/endpoint.rs
@@ -1,4 +1,4 @@
-//! Upstream endpoints and updates of their list.
+//! Upstream endpoints and updates of the endpoint list.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,14 +6,14 @@
 
 /// State of an endpoint in the list.
 ///
-/// The order of the variants, and of the fields of [`Endpoint`], is that of the hot-restart snapshot.
+/// The order of the variants, and of the fields of [`Endpoint`], is part of the state snapshot's encoding.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointState {
     /// Takes requests.
     Ready,
-    /// Finishes what it has; takes no new request.
+    /// Completes its requests in flight but takes no new ones.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     #[default]
     Removed,
 }
@@ -23,9 +23,9 @@
 pub struct Endpoint {
     /// Its id.
     pub id: EndpointId,
-    /// Its size, relative to that of other endpoints.
+    /// Its size, relative to other endpoints.
     pub weight: f64,
-    /// When it last started; `None`: long ago.
+    /// When it last started; `None` if long ago.
     pub started_at_ns: Option<u64>,
     /// Its zone.
     pub zone: ZoneId,
@@ -37,15 +37,15 @@
     pub state: EndpointState,
 }
 
-/// How an update of the endpoint list is meant.
+/// Kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
-    /// The full list as an earlier process last had it, possibly stale.
+    /// The full list as last received by an earlier process, possibly stale.
     Cached,
     /// The full list.
     Snapshot,
     /// Changed entries only.
     Delta,
-    /// A call failed or the watch ended; the list stays as it was.
+    /// A call has failed or the watch has ended; the list stays as it was.
     Failed,
 }
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,4 +1,4 @@
-//! What a policy is notified of.
+//! Events: the inputs of the policy.
 
 use std::sync::Arc;
 
@@ -9,26 +9,26 @@
 pub enum Event {
     /// An update of the endpoint list.
     EndpointUpdate(EndpointUpdateKind, Arc<[Endpoint]>),
-    /// An endpoint was in maintenance and is returned to service: it starts anew.
+    /// An endpoint has been returned to service after maintenance, during which it was restarted.
     ReturnedToService(Endpoint),
-    /// Share of its usual traffic that each zone gets, by its number. Zones beyond the end get all of theirs.
+    /// Share of its usual traffic that each zone gets, by zone number; 1 for zones beyond the end.
     ZoneTrafficShares(Vec<f64>),
-    /// A request came in.
+    /// A request arrived.
     Request(Request),
-    /// A streamed response began.
+    /// A streamed response has begun.
     ResponseStarted {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// An attempt ended.
+    /// An attempt has ended.
     AttemptFinished(AttemptResult),
-    /// The client disconnected; the request needs no answer.
+    /// The client has disconnected; the request needs no answer.
     ClientDisconnected(RequestId),
-    /// A timer expired.
+    /// The timer with this token has expired.
     TimerExpired(u64),
-    /// A message from another node.
+    /// A gossip message from another node.
     PeerMessage {
         /// The sender.
         from: NodeId,
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -1,4 +1,5 @@
-//! Ids: of requests, endpoints and customers, and the numbers that the settings give to classes, plans, nodes and zones.
+//! Ids of requests, endpoints and customers, and the numbers that the settings assign to classes, plans, nodes and
+//! zones.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -7,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies a request while the node has it in flight.
+/// Identifies a request while it is in flight in the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -50,7 +51,7 @@
 }
 
 number_id! {
-    /// Number of a zone, from 0 in the order of the platform's settings.
+    /// Number of a zone, in the order of the platform's settings, from 0.
     ZoneId(u32)
 }
 
@@ -60,7 +61,7 @@
 }
 
 number_id! {
-    /// Number of a machine type, from 0 in the order of the platform's settings.
+    /// Number of a machine type, in the order of the platform's settings, from 0.
     MachineTypeId(u32)
 }
 
@@ -73,7 +74,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The id as text.
+            /// Returns the id as a string.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -132,11 +133,11 @@
 }
 
 string_id! {
-    /// Identifies an upstream endpoint; opaque.
+    /// Opaque identifier of an upstream endpoint.
     EndpointId
 }
 
 string_id! {
-    /// Identifies a customer, whose quota holds over all nodes together.
+    /// Identifies a customer, whose quota applies over all nodes together.
     CustomerId
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,6 +1,6 @@
-//! The interface of the decision policy: settings at the start, events in, actions out.
+//! The interface of the decision policy: settings at the start, events as input, actions as output.
 //!
-//! Nothing here knows of a wire format. All moments and spans are nanoseconds of the caller's clock.
+//! Independent of any wire format. All times and durations are in nanoseconds of the caller's clock.
 
 mod action;
 mod endpoint;
--- a/src/api/node_set.rs
+++ b/src/api/node_set.rs
@@ -1,8 +1,8 @@
-//! The nodes that a customer's requests come in through.
+//! The set of nodes through which a customer's requests arrive.
 
 use super::NodeId;
 
-/// A contiguous range of node numbers, which wraps round at the size of the fleet.
+/// A contiguous range of node numbers, which wraps around at the size of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeSet {
     /// The first node.
@@ -12,7 +12,7 @@
 }
 
 impl NodeSet {
-    /// The first so many nodes of a fleet.
+    /// The first `size` nodes of a fleet.
     pub fn first_nodes(size: u32) -> Self {
         NodeSet {
             first: NodeId(0),
@@ -20,7 +20,7 @@
         }
     }
 
-    /// The same set with a size that a fleet of so many nodes can have: one node at least, all of them at most.
+    /// The same set with its size limited to the range from 1 to `node_count`.
     #[must_use]
     pub fn clamped(self, node_count: u32) -> Self {
         NodeSet {
@@ -29,12 +29,12 @@
         }
     }
 
-    /// The nodes, in a fleet of so many.
+    /// The nodes of the set, in a fleet of `node_count` nodes.
     pub fn nodes(self, node_count: u32) -> impl Iterator<Item = NodeId> {
         (0..self.size).map(move |offset| NodeId((self.first.0 + offset) % node_count))
     }
 
-    /// True where a node of a fleet of so many is in the set.
+    /// Returns true if the set contains `node`, in a fleet of `node_count` nodes.
     pub fn contains(self, node: NodeId, node_count: u32) -> bool {
         (node.0 + node_count - self.first.0) % node_count < self.size
     }
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -17,20 +17,20 @@
     pub units: f64,
     /// Time until the client gives up.
     pub time_left_ns: u64,
-    /// The client marked it as a retry.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
-    /// The nodes that the customer's requests come in through.
+    /// The nodes through which the customer's requests arrive.
     pub nodes: NodeSet,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The request was served.
     Success,
     /// Answered with an error; possibly executed.
     Failure,
-    /// Rejected by the endpoint, for load; never executed.
+    /// Rejected by the endpoint because of load; never executed.
     Overloaded,
     /// No response in time; possibly executed.
     TimedOut,
@@ -40,14 +40,15 @@
     ConnectionReset,
     /// Cancelled; possibly executed.
     Cancelled,
-    /// Never sent; never executed.
+    /// Not sent; never executed.
     NotSent,
-    /// Never sent, for a reason that a further attempt may not meet, as the endpoint began to drain; never executed.
+    /// Not sent for a reason that need not affect another attempt, such as the endpoint starting to drain; never
+    /// executed.
     NotSentRetryable,
 }
 
 impl Outcome {
-    /// True where the outcome proves that the attempt was never executed.
+    /// Returns true if the outcome proves that the request was not executed.
     pub fn never_executed(self) -> bool {
         matches!(
             self,
@@ -58,7 +59,8 @@
         )
     }
 
-    /// True where the outcome is evidence about the endpoint. An attempt that was never sent, or was cancelled, is none.
+    /// Returns true if the outcome is evidence about the endpoint. An attempt that was cancelled or never sent is
+    /// not.
     pub fn is_evidence(self) -> bool {
         !matches!(
             self,
@@ -72,17 +74,17 @@
 pub struct AttemptResult {
     /// The request.
     pub request: RequestId,
-    /// Number of the attempt, from 0 in the order sent.
+    /// Number of the attempt, from 0 in the order of sending.
     pub attempt: u32,
     /// The endpoint.
     pub endpoint: EndpointId,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub latency_ns: u64,
-    /// The request needs no further answer.
+    /// Whether the request needs no further answer.
     pub request_complete: bool,
-    /// Units that the response settled, where they replace an estimate.
+    /// Actual units according to the response, if they replace an estimate.
     pub settled_units: Option<f64>,
     /// Load report, in the order of the settings' fields; may be empty.
     pub load_report: Vec<f64>,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,40 +1,40 @@
-//! Settings of a policy, fixed until the process ends.
+//! Settings of the policy, which are fixed for the lifetime of the process.
 
 use super::{ClassId, Endpoint, NodeId, PlanId, ZoneId};
 
-/// Smallest burst that levels are computed with, so that a plan without a quota divides by no zero.
+/// Minimum burst that levels are computed with, so that a plan without a quota causes no division by zero.
 const MIN_QUOTA_BURST_UNITS: f64 = 1e-9;
 
-/// Which endpoints recognize the idempotency key of a request that another one has executed.
+/// Endpoints that recognize the idempotency key of a request that another endpoint has executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All of them.
+    /// All endpoints.
     All,
-    /// Those in the same zone.
+    /// Endpoints in the same zone.
     Zone,
-    /// Those in the same cell.
+    /// Endpoints in the same cell.
     Cell,
 }
 
-/// Whether a request may be executed again.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of times, at any endpoint.
+    /// May be executed any number of times, at any endpoint.
     Idempotent,
-    /// It carries an idempotency key, which endpoints in the scope recognize for some time.
+    /// Carries an idempotency key, which the endpoints in the scope recognize for some time.
     IdempotencyKey {
         /// The endpoints that recognize a key.
         scope: KeyScope,
-        /// How long they do.
+        /// Time for which they recognize it.
         deduplication_window_ns: u64,
     },
-    /// Never once it may have been executed.
+    /// Must not be sent again once it may have been executed.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// True where an attempt at `next` does no harm after one at `first` that may have been executed,
-    /// for as long as the key is recognized.
+    /// Returns true if, while the key is recognized, an attempt at `next` does no harm after one at `first` that may
+    /// have been executed.
     pub fn deduplicates_between(self, first: &Endpoint, next: &Endpoint) -> bool {
         match self {
             Idempotency::IdempotencyKey {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// True where the client may retry after an attempt that may have been executed.
+    /// Returns true if the client may safely retry after an attempt that may have been executed.
     pub fn client_may_retry(self) -> bool {
         matches!(
             self,
@@ -73,28 +73,28 @@
     pub priority_weight: f64,
     /// Fraction of the weight that a response past the objective earns.
     pub late_weight_fraction: f64,
-    /// Whether a request may be executed again.
+    /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
-    /// The response is a stream.
+    /// Whether the response is a stream.
     pub streaming: bool,
 }
 
-/// A plan. Its limits hold for each customer over all nodes together.
+/// A plan, whose limits apply to each customer over all nodes together.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// Rate of the quota's token bucket; 0: no quota.
+    /// Refill rate of the quota's token bucket; 0 for no quota.
     pub quota_units_per_second: f64,
     /// Capacity of the quota's token bucket.
     pub quota_burst_units: f64,
-    /// Requests of a customer that may be in flight at once; `None`: no limit.
+    /// Maximum number of a customer's requests in flight; `None` for no limit.
     pub max_concurrency: Option<u32>,
-    /// Multiplier on the priority weight.
+    /// Multiplier of the priority weight.
     pub weight_multiplier: f64,
     /// Fraction of the weight that a request beyond the quota earns.
     pub over_quota_weight_fraction: f64,
     /// Fraction of the weight that forwarding a request beyond the quota costs.
     pub over_quota_penalty_fraction: f64,
-    /// Rate of the ceiling's token bucket, which may never be exceeded; 0: no ceiling.
+    /// Refill rate of the ceiling's token bucket, which must never be exceeded; 0 for no ceiling.
     pub ceiling_units_per_second: f64,
     /// Capacity of the ceiling's token bucket.
     pub ceiling_burst_units: f64,
@@ -103,17 +103,17 @@
 }
 
 impl Plan {
-    /// True where a quota limits its customers.
+    /// Returns true if the plan has a quota.
     pub fn has_quota(&self) -> bool {
         self.quota_units_per_second > 0.0
     }
 
-    /// True where a ceiling limits its customers.
+    /// Returns true if the plan has a ceiling.
     pub fn has_ceiling(&self) -> bool {
         self.ceiling_units_per_second > 0.0
     }
 
-    /// A quantity of units as a fraction of the quota's burst.
+    /// `units` as a fraction of the quota's burst.
     pub(crate) fn quota_level(&self, units: f64) -> f64 {
         units / self.quota_burst_units.max(MIN_QUOTA_BURST_UNITS)
     }
@@ -122,7 +122,7 @@
 /// A value in an endpoint's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
-    /// Fraction of the processor in use.
+    /// Processor utilization.
     Utilization,
     /// Requests in flight.
     InFlight,
@@ -139,59 +139,59 @@
     pub node_count: u32,
     /// This node's zone.
     pub zone: ZoneId,
-    /// Classes, which [`Request::class`](super::Request::class) refers to.
+    /// Classes, referred to by [`Request::class`](super::Request::class).
     pub classes: Vec<Class>,
-    /// Plans, which [`Request::plan`](super::Request::plan) refers to.
+    /// Plans, referred to by [`Request::plan`](super::Request::plan).
     pub plans: Vec<Plan>,
-    /// The endpoint list has to be watched; else it comes by itself.
+    /// Whether the endpoint list has to be watched; otherwise it is pushed.
     pub watch_endpoints: bool,
     /// Number of machine types.
     pub machine_type_count: u32,
-    /// [`Endpoint::weight`] is an endpoint's size.
+    /// Whether [`Endpoint::weight`] is the size of an endpoint.
     pub weighted_endpoints: bool,
-    /// The values of a load report, in order.
+    /// Values of a load report, in order.
     pub load_report_fields: Vec<LoadField>,
-    /// Fraction of its capacity with which an endpoint starts.
+    /// Fraction of its capacity that an endpoint has when it starts.
     pub slow_start_fraction: f64,
-    /// Time after which an endpoint has all of its capacity.
+    /// Duration of slow start, after which an endpoint has its full capacity.
     pub slow_start_ns: u64,
-    /// Multiple of its present capacity at which an endpoint in slow start fails.
+    /// Multiple of its current capacity at which an endpoint in slow start fails.
     pub overload_multiple: f64,
-    /// Time over which that multiple is counted.
+    /// Window over which that multiple is counted.
     pub overload_window_ns: u64,
-    /// Attempts for a request at most.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Longest wait that a client obeys; `None`: clients are advised no wait.
+    /// Longest advised retry delay that a client obeys; `None` if clients are advised none.
     pub max_retry_after_ns: Option<u64>,
-    /// Nodes may send each other messages.
+    /// Whether nodes may send each other messages.
     pub gossip_enabled: bool,
-    /// A request may have two attempts in flight (hedging).
+    /// Whether a request may have two attempts in flight (hedging).
     pub hedging_allowed: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// Messages per second that a node receives.
+    /// Maximum number of messages per second that a node receives.
     pub gossip_messages_per_second: f64,
-    /// A request's units are an estimate, which the first successful response settles.
+    /// Whether a request's units are an estimate that the first successful response replaces.
     pub cost_settled_after_response: bool,
     /// Units of the largest request.
     pub max_request_units: f64,
 }
 
 impl PolicySettings {
-    /// A class by its id.
+    /// Returns the class of an id.
     ///
     /// # Panics
     ///
-    /// The id is of other settings.
+    /// Panics if the id does not belong to these settings.
     pub fn class(&self, id: ClassId) -> &Class {
         &self.classes[id.0]
     }
 
-    /// A plan by its id.
+    /// Returns the plan of an id.
     ///
     /// # Panics
     ///
-    /// The id is of other settings.
+    /// Panics if the id does not belong to these settings.
     pub fn plan(&self, id: PlanId) -> &Plan {
         &self.plans[id.0]
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! applewall decides, for one node of an API ingress fleet, which requests to admit, which to
-//! reject and where to send them.
+//! applewall decides, for one node of a fleet of API ingress nodes, which requests to admit, which to reject and
+//! where to send them.
 //!
-//! [`decision::DecisionPolicy`] is the decision policy; [`api`] holds everything that goes into it
-//! and comes out of it. [`platform_settings`] reads the platform's settings object. [`simulator`]
-//! translates the simulator's protocol and is not needed when the library is embedded.
+//! [`decision::DecisionPolicy`] is the decision policy; [`api`] defines its inputs and outputs. [`platform_settings`]
+//! reads the platform's settings object. [`simulator`] implements the simulator's protocol and is not needed when the
+//! library is embedded.
 
 pub mod api;
 pub mod decision;
--- a/src/platform_settings/mod.rs
+++ b/src/platform_settings/mod.rs
@@ -1,5 +1,4 @@
-//! The settings object of the platform, as both the daemon's configuration file and the simulator
-//! carry it.
+//! The platform's settings object, which both the daemon's configuration file and the simulator contain.
 
 mod schema;
 
@@ -15,35 +14,35 @@
 };
 use schema::{ClassObject, PlanObject, SettingsObject};
 
-/// Zone of an endpoint whose zone the settings do not name: no node's own.
+/// Zone of an endpoint whose zone is not in the settings; it matches no node's zone.
 const UNKNOWN_ENDPOINT_ZONE: ZoneId = ZoneId(u32::MAX - 1);
-/// Zone of a node whose zone is not among the settings' zones: no endpoint's.
+/// Zone of a node whose zone is not in the settings; it matches no endpoint's zone.
 const UNKNOWN_NODE_ZONE: ZoneId = ZoneId(u32::MAX);
 
-/// Why a settings object cannot be used.
+/// The reason why a settings object cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// A key is missing, or its value is of another type.
-    #[error("facts: {0}")]
+    /// A key is missing, or its value has the wrong type.
+    #[error("settings: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A class names a scope of its idempotency keys that is not known.
-    #[error("facts: unknown key_scope '{0}'")]
+    /// A class has an unknown scope of its idempotency keys.
+    #[error("settings: unknown key_scope '{0}'")]
     UnknownKeyScope(String),
-    /// A class names an idempotency that is not known.
-    #[error("facts: unknown idempotency '{0}'")]
+    /// A class has an unknown kind of idempotency.
+    #[error("settings: unknown idempotency '{0}'")]
     UnknownIdempotency(String),
 }
 
-/// The platform's settings of one node, with the names that requests and endpoint lists use.
+/// The platform's settings of one node, and the ids of the names that requests and endpoint lists use.
 #[derive(Debug)]
 pub struct PlatformSettings {
     /// Settings of the decision policy.
     pub policy: PolicySettings,
     /// Time after which an idle connection to an endpoint is closed.
     pub idle_connection_timeout_ns: u64,
-    /// Time in which a connection has to be established.
+    /// Timeout for establishing a connection.
     pub connect_timeout_ns: u64,
-    /// Time after the notice of a drain within which attempts to the endpoint have to stop.
+    /// Time after the notice of a drain within which the endpoint must no longer be sent attempts.
     pub drain_notice_ns: u64,
     classes: HashMap<String, ClassId>,
     plans: HashMap<String, PlanId>,
@@ -56,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// A key is missing or has a value that is not known.
+    /// Returns an error if a key is missing or has an unknown value.
     pub fn from_json(value: &Value) -> Result<Self, SettingsError> {
         let object = SettingsObject::deserialize(value)?;
         Ok(PlatformSettings {
@@ -64,36 +63,36 @@
             idle_connection_timeout_ns: object.permissions.conn_idle_ns,
             connect_timeout_ns: object.permissions.dial_timeout_ns,
             drain_notice_ns: object.obligations.stop_sending_within_ns,
-            classes: numbered(object.classes.into_iter().map(|class| class.name), ClassId),
-            plans: numbered(object.tariffs.into_iter().map(|plan| plan.name), PlanId),
-            zones: numbered(object.areas, ZoneId),
-            machine_types: numbered(object.host_types, MachineTypeId),
+            classes: ids_by_name(object.classes.into_iter().map(|class| class.name), ClassId),
+            plans: ids_by_name(object.tariffs.into_iter().map(|plan| plan.name), PlanId),
+            zones: ids_by_name(object.areas, ZoneId),
+            machine_types: ids_by_name(object.host_types, MachineTypeId),
         })
     }
 
-    /// The class of a name.
+    /// The class with this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.get(name).copied()
     }
 
-    /// The plan of a name.
+    /// The plan with this name.
     pub fn plan(&self, name: &str) -> Option<PlanId> {
         self.plans.get(name).copied()
     }
 
-    /// The machine type of a name; those that the settings do not name count as the first.
+    /// The machine type with this name; unknown names map to the first one.
     pub fn machine_type(&self, name: &str) -> MachineTypeId {
         self.machine_types.get(name).copied().unwrap_or_default()
     }
 
-    /// Names of all zones, by their numbers.
+    /// Names of all zones, ordered by number.
     pub fn zone_names(&self) -> Vec<String> {
         let mut names: Vec<_> = self.zones.iter().collect();
         names.sort_by_key(|(_, number)| **number);
         names.into_iter().map(|(name, _)| name.clone()).collect()
     }
 
-    /// An endpoint's zone; one that the settings do not name is no node's own.
+    /// The zone of an endpoint; an unknown name maps to a zone that matches no node's.
     pub fn zone(&self, name: &str) -> ZoneId {
         self.zones
             .get(name)
@@ -102,8 +101,8 @@
     }
 }
 
-/// Names with the ids of their positions; a name that comes twice has the last.
-fn numbered<Number, Id>(
+/// Maps names to the ids of their positions; of a duplicate name, the last position counts.
+fn ids_by_name<Number, Id>(
     names: impl IntoIterator<Item = String>,
     id: impl Fn(Number) -> Id,
 ) -> HashMap<String, Id>
--- a/src/platform_settings/schema.rs
+++ b/src/platform_settings/schema.rs
@@ -1,4 +1,4 @@
-//! Form of the settings object: keys and defaults as the platform's pages give them.
+//! Structure of the settings object, with the keys and defaults that the platform specifies.
 
 use serde::Deserialize;
 
--- a/src/simulator/fields.rs
+++ b/src/simulator/fields.rs
@@ -1,4 +1,4 @@
-//! Values of one line, read by position, and what can be wrong with them.
+//! Access to the values of one line by position, and the errors of the protocol.
 
 use serde_json::Value;
 use thiserror::Error;
@@ -6,44 +6,44 @@
 use crate::api::RequestId;
 use crate::platform_settings::SettingsError;
 
-/// Hexadecimal digits of a request's id.
+/// Number of hexadecimal digits of a request's id.
 const REQUEST_ID_DIGITS: usize = 16;
 
-/// Why a line of the simulator cannot be read.
+/// The reason why a line of the simulator cannot be read.
 #[derive(Debug, Error)]
 pub enum ProtocolError {
-    /// The line is no JSON.
+    /// The line is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The line is no array.
+    /// The line is not an array.
     #[error("not an array")]
     NotAnArray,
-    /// A value is of another type than its name asks for.
+    /// A value has the wrong type.
     #[error("'{field}' {problem}")]
     Field {
-        /// The name of the field in the platform's pages.
+        /// The name of the field, as the platform specifies it.
         field: &'static str,
-        /// What is wrong with it.
+        /// The problem with its value.
         problem: &'static str,
     },
-    /// An entry of an endpoint list is no array.
+    /// An entry of an endpoint list is not an array.
     #[error("an entry is not an array")]
     EntryNotAnArray,
-    /// A value is none of those that are known.
+    /// A value is unknown.
     #[error("unknown {what} '{value}'")]
     Unknown {
-        /// What the value names.
+        /// The kind of the value.
         what: &'static str,
         /// The value.
         value: String,
     },
-    /// A list is referred to that was not sent.
-    #[error("no inventory {0}")]
+    /// An event refers to an endpoint list that was not sent.
+    #[error("unknown endpoint list: no Inventory with sheet {0}")]
     UnknownList(u64),
-    /// A timer's token is none that the policy set.
-    #[error("'{0}' is no cookie of ours")]
-    ForeignToken(String),
-    /// The settings of a node can't be used.
+    /// A timer's token is not one that the policy set.
+    #[error("'{0}' is not the cookie of a timer set by this node")]
+    UnknownToken(String),
+    /// The settings of a node cannot be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
@@ -61,11 +61,11 @@
     }
 }
 
-/// The values of one line, read by position; each error names the field.
+/// The values of one line, accessed by position; errors name the field.
 pub(super) struct Fields<'a>(pub(super) &'a [Value]);
 
 impl<'a> Fields<'a> {
-    /// A value; one that is left out is null.
+    /// Returns a value; an omitted one is null.
     pub(super) fn at(&self, position: usize) -> &'a Value {
         self.0.get(position).unwrap_or(&Value::Null)
     }
@@ -102,7 +102,7 @@
         value.ok_or(ProtocolError::field(field, "is not a number"))
     }
 
-    /// A count, which may be written with a fraction of zero.
+    /// Returns a count, which may be written with a fractional part of zero.
     pub(super) fn count_or_zero(
         &self,
         position: usize,
@@ -121,7 +121,7 @@
         field: &'static str,
     ) -> Result<&'a str, ProtocolError> {
         let value = self.at(position).as_str();
-        value.ok_or(ProtocolError::field(field, "is not text"))
+        value.ok_or(ProtocolError::field(field, "is not a string"))
     }
 
     pub(super) fn flag(&self, position: usize, field: &'static str) -> Result<bool, ProtocolError> {
@@ -129,7 +129,7 @@
             return Ok(false);
         }
         let value = self.at(position).as_bool();
-        value.ok_or(ProtocolError::field(field, "is not true or false"))
+        value.ok_or(ProtocolError::field(field, "is not a boolean"))
     }
 
     pub(super) fn request_id(&self, position: usize) -> Result<RequestId, ProtocolError> {
@@ -155,6 +155,6 @@
     if value.is_null() {
         return Ok(0.0);
     }
-    let problem = "holds something that is not a number";
+    let problem = "contains a value that is not a number";
     value.as_f64().ok_or(ProtocolError::field("usage", problem))
 }
--- a/src/simulator/input.rs
+++ b/src/simulator/input.rs
@@ -1,4 +1,4 @@
-//! Lines from the simulator: each an array of JSON whose first value names its kind.
+//! Lines from the simulator, each a JSON array whose first value is its type.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 
 /// Bit of a request's state that marks a retry by the client.
 const RETRY_BIT: u64 = 2;
-/// Cell of an endpoint whose entry names none.
+/// Cell of an endpoint whose entry has none.
 const NO_CELL: CellId = CellId(-1);
 
 /// One line of input.
@@ -21,7 +21,7 @@
 pub enum InputLine {
     /// A batch begins.
     BatchStart {
-        /// Its moment, in nanoseconds.
+        /// Its time, in nanoseconds.
         now_ns: u64,
         /// Its number.
         batch: u64,
@@ -34,22 +34,22 @@
         node: u64,
         /// Its seed.
         seed: u64,
-        /// Its settings, with the names that its lines use.
+        /// Its settings, with the ids of the names that its lines use.
         settings: Box<PlatformSettings>,
     },
-    /// A node was stopped.
+    /// A node has stopped.
     NodeStop {
         /// Its number.
         node: u64,
     },
-    /// A numbered endpoint list, which events refer to.
+    /// A numbered endpoint list, to which events refer.
     EndpointList {
         /// Its number.
         list: u64,
-        /// The entries, as they came.
+        /// The unparsed entries.
         entries: Vec<Value>,
     },
-    /// Anything else, for one node.
+    /// Any other line, for one node.
     Event {
         /// Its number.
         node: u64,
@@ -58,34 +58,34 @@
     },
 }
 
-/// What a line reports to a node.
+/// An event of a node.
 #[derive(Debug)]
 pub enum NodeEvent {
     /// An event of the policy.
     Policy(Event),
-    /// A health check was answered, or failed. The policy requests none.
+    /// A health check has completed or failed. The policy does not request any.
     HealthChecked {
         /// The endpoint.
         endpoint: EndpointId,
-        /// It answered.
+        /// Whether the endpoint passed it.
         healthy: bool,
-        /// Load report, may be empty.
+        /// Load report; may be empty.
         load_report: Vec<f64>,
     },
-    /// The counter service answered. The policy does not call it.
+    /// The counter service has answered. The policy does not call it.
     CounterRead {
         /// Name of the counter.
         name: String,
-        /// Its total, where the call succeeded.
+        /// Its total, if the call succeeded.
         total: Option<f64>,
     },
 }
 
-/// Reads one line.
+/// Parses one line.
 ///
 /// # Errors
 ///
-/// The line is no array of JSON, or a value is missing or of another type.
+/// Returns an error if the line is not a JSON array, or if a value is missing or has the wrong type.
 pub fn parse_line(line: &str) -> Result<InputLine, ProtocolError> {
     let Value::Array(values) = serde_json::from_str(line)? else {
         return Err(ProtocolError::NotAnArray);
@@ -113,7 +113,7 @@
     }
 }
 
-/// A seed; a negative one stands for its bits.
+/// Parses a seed; a negative number stands for its bit pattern.
 fn seed(value: &Value) -> Result<u64, ProtocolError> {
     let bits = value
         .as_u64()
@@ -131,11 +131,11 @@
     })
 }
 
-/// Reads the entries of an endpoint list with the names of a node's settings.
+/// Parses the entries of an endpoint list, resolving names by a node's settings.
 ///
 /// # Errors
 ///
-/// An entry is no array, or a value is missing or of another type.
+/// Returns an error if an entry is not an array, or if a value is missing or has the wrong type.
 pub fn parse_endpoints(
     settings: &PlatformSettings,
     entries: &[Value],
@@ -179,11 +179,11 @@
     })
 }
 
-/// Reads a node's event; `list` looks up the numbered endpoint lists.
+/// Parses a node's event. `list` looks up numbered endpoint lists.
 ///
 /// # Errors
 ///
-/// The event is not known, or a value is missing, of another type or not known.
+/// Returns an error if the event is unknown, or if a value is missing, unknown or of the wrong type.
 pub fn parse_event(
     settings: &PlatformSettings,
     fields: &[Value],
@@ -279,7 +279,7 @@
     }))
 }
 
-/// Units that a response settled: 0 stands for none.
+/// Actual units according to a response; 0 stands for none.
 fn settled_units(fields: &Fields<'_>) -> Result<Option<f64>, ProtocolError> {
     let units = fields.number_or_zero(9, "cost")?;
     Ok((units != 0.0).then_some(units))
@@ -303,7 +303,7 @@
     let token = fields.text(2, "cookie")?;
     let number = token
         .parse()
-        .map_err(|_| ProtocolError::ForeignToken(token.to_string()))?;
+        .map_err(|_| ProtocolError::UnknownToken(token.to_string()))?;
     Ok(Event::TimerExpired(number))
 }
 
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,5 +1,5 @@
-//! The protocol of the simulator, which plays the policies of many nodes in virtual time: lines of JSON in batches over
-//! standard input and output. Only translates; nothing is decided here.
+//! The protocol of the simulator, which runs the policies of many nodes in virtual time: lines of JSON in batches on
+//! standard input and output. This module only translates; it takes no decisions.
 
 mod fields;
 mod input;
--- a/src/simulator/output.rs
+++ b/src/simulator/output.rs
@@ -1,4 +1,4 @@
-//! Lines to the simulator: one for each action, and the end of each reply.
+//! Lines to the simulator: one per action, and the end of each reply.
 
 use std::fmt::Write as _;
 
@@ -6,10 +6,10 @@
 
 use crate::api::{Action, EndpointId, RequestId};
 
-/// Timeout of an attempt that may last until the client gives up, and wait of a rejection that advises none.
+/// Encoding of an attempt without a timeout and of a rejection without an advised delay.
 const NONE_NS: u64 = 0;
 
-/// A line that the protocol has and for which the policy has no [`Action`].
+/// A line of the protocol for which the policy has no [`Action`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum SimulatorRequest {
     /// Check an endpoint's health.
@@ -26,7 +26,7 @@
         name: String,
         /// Amount to add.
         amount: f64,
-        /// Lifetime of a new counter.
+        /// Lifetime of the counter, if it is new.
         ttl_ns: u64,
     },
 }
@@ -45,17 +45,17 @@
     write_line(reply, &action_line(node, action));
 }
 
-/// Appends a request of a node that is no action of the policy.
+/// Appends a line of a node that does not correspond to an action of the policy.
 pub fn write_request(reply: &mut String, node: u64, request: &SimulatorRequest) {
     write_line(reply, &request_line(node, request));
 }
 
 fn write_line(reply: &mut String, line: &Value) {
-    // Writing into a string does not fail.
+    // Writing to a string cannot fail.
     let _ = writeln!(reply, "{line}");
 }
 
-/// The commonest line, written without building a value; ids need no escapes.
+/// Writes the most frequent line without building a JSON value; the request's id needs no escaping.
 fn write_attempt(
     reply: &mut String,
     node: u64,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Appends a report that a node's policy panicked.
+/// Appends a report that a node's policy has panicked.
 pub fn write_exception(reply: &mut String, node: u64, message: &str) {
     write_line(reply, &json!(["Exception", node, message]));
 }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -69,10 +69,13 @@
     let inside = [
         (r#"["Nonsense",3]"#, "unknown event 'Nonsense'"),
         (r#"["Alarm",4,"9"]"#, "no instance 4"),
-        (r#"["Alarm",3,9]"#, "'cookie' is not text"),
-        (r#"["Alarm",3,"x"]"#, "no cookie of ours"),
+        (r#"["Alarm",3,9]"#, "'cookie' is not a string"),
+        (
+            r#"["Alarm",3,"x"]"#,
+            "'x' is not the cookie of a timer set by this node",
+        ),
         (r#"["Boot","3",7,{}]"#, "'who' is not a whole number"),
-        (r#"["Boot",3,7,{}]"#, "facts: missing field"),
+        (r#"["Boot",3,7,{}]"#, "settings: missing field"),
         (
             r#"["Demand",3,"ff",1,"p",9,0,1,0,"r","c"]"#,
             "'job' is not 16 hex digits",
@@ -81,7 +84,10 @@
             r#"["Demand",3,"00000000000000ff",1,"p",9,0,1,0,"z","c"]"#,
             "unknown class 'z'",
         ),
-        (r#"["Discovery",3,"disk",1,9]"#, "no inventory 9"),
+        (
+            r#"["Discovery",3,"disk",1,9]"#,
+            "unknown endpoint list: no Inventory with sheet 9",
+        ),
         (
             r#"["Finished",3,"00000000000000ff",0,"s1","WHAT",5,true]"#,
             "unknown status 'WHAT'",
