--- a/src/decision/endpoints/slow_start.rs
+++ b/src/decision/endpoints/slow_start.rs
@@ -47,12 +47,14 @@
     /// Number of requests of cost `load.cost` that an endpoint in slow start can still take from this node; negative
     /// if none.
     ///
-    /// The budget is `used fraction * overload multiple * slow-start fraction * throughput * window * available
-    /// fraction / cost`, less what the endpoint got within the window, less a fraction of a request drawn once per
-    /// window (if it were drawn per request, many requests would pass). An attempt counts by how late in the window
-    /// it was sent, since capacity is regained evenly; so on average it is compared with half of the budget. A
-    /// process that has just started does not know the attempts of an earlier one, so most of its first window
-    /// becomes available only over time.
+    /// The budget is the following, less what the endpoint got within the window, less a fraction of a request drawn
+    /// once per window (if it were drawn per request, many requests would pass):
+    ///
+    /// `used fraction * overload multiple * slow-start fraction * throughput * window * available fraction / cost`
+    ///
+    /// An attempt counts by how late in the window it was sent, since capacity is regained evenly; so on average it
+    /// is compared with half of the budget. A process that has just started does not know the attempts of an earlier
+    /// one, so most of its first window becomes available only over time.
     pub(super) fn remaining_budget(
         &self,
         context: &Context<'_>,
--- a/src/decision/event_clock.rs
+++ b/src/decision/event_clock.rs
@@ -43,8 +43,8 @@
         before.is_none()
     }
 
-    /// Returns true for the events at the time of the first one after a stall. Outcomes reported then may have waited
-    /// in this process, so they are no evidence about their endpoints.
+    /// Returns true at the time of the first event after a stall. Outcomes reported then may have waited in this
+    /// process, so they are no evidence about their endpoints.
     pub(super) fn has_just_resumed(&self, now: Timestamp) -> bool {
         self.resumed_at == Some(now)
     }
@@ -54,7 +54,7 @@
         self.started_at = started_at;
     }
 
-    /// Restarts at the last event, because later ones went to another process.
+    /// Sets the start time to that of the last event, because later requests went to another process.
     pub(super) fn restart(&mut self) {
         self.started_at = self.last_event_at();
     }
--- a/src/decision/hashing.rs
+++ b/src/decision/hashing.rs
@@ -1,5 +1,5 @@
-//! Hash functions that give the same result at all nodes of a fleet, so that nodes agree on rankings and draws
-//! without messages.
+//! Hash functions that give the same result at all nodes of a fleet, so that nodes agree on rankings and pseudorandom
+//! numbers without messages.
 
 use applewall_node_types::NodeId;
 use serde::{Deserialize, Serialize};
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -5,12 +5,9 @@
 //!
 //! | component | owns | decides |
 //! | --- | --- | --- |
-//! | `quota` | customers' quotas, ceilings, demand and usage at peers | whether a customer's limits admit a request;
-//! which reports, aggregates and grants are due |
-//! | `overload` | the ladder of filters, load statistics, the pool | whether the load admits a request: backlog limit
-//! and ladder |
-//! | `endpoints` | the endpoint list and a record of each endpoint | which endpoint gets an attempt; health,
-//! ejection, slow start, subset |
+//! | `quota` | customers' quotas, ceilings, demand and usage at peers | whether a customer's limits admit a request; which reports, aggregates and grants are due |
+//! | `overload` | the ladder of filters, load statistics, the pool | whether the load admits a request: backlog limit and ladder |
+//! | `endpoints` | the endpoint list and a record of each endpoint | which endpoint gets an attempt; health, ejection, slow start, subset |
 //! | `retry` | the retry budget | attempt timeouts, retries, the final answer |
 //! | `latency` | learned latencies | |
 //! | `pending` | requests that have no final answer yet | |
--- a/src/decision/overload/backlog.rs
+++ b/src/decision/overload/backlog.rs
@@ -35,7 +35,8 @@
 const MIN_WEIGHT_FACTOR: f64 = 0.4;
 /// Maximum factor of the priority weight on the limit.
 const MAX_WEIGHT_FACTOR: f64 = 2.5;
-/// Minimum filled fraction of the time constant by which the throughput of a process that has just started is scaled.
+/// Minimum elapsed fraction of the time constant by which the throughput of a process that has just started is scaled
+/// up.
 const MIN_FILLED_FRACTION: f64 = 0.1;
 /// Minimum capacity that a ratio is computed with.
 const MIN_CAPACITY: f64 = 1e-9;
--- a/src/decision/overload/mod.rs
+++ b/src/decision/overload/mod.rs
@@ -153,8 +153,7 @@
     }
 
     /// The statistics that drive the ladder: this node's history and, in a large fleet, a fraction of the pool that
-    /// makes up for the outcomes missing to [`ENOUGH_OUTCOMES`], since the few outcomes of one node are mostly
-    /// chance.
+    /// makes up for the shortfall below [`ENOUGH_OUTCOMES`], since the few outcomes of one node are mostly chance.
     ///
     /// The pool lags, which is why the sojourn is longer with it. Its ratios from before a change could hold the
     /// ladder closed, which is why its scaling is bounded.
--- a/src/decision/overload/pool.rs
+++ b/src/decision/overload/pool.rs
@@ -7,7 +7,7 @@
 use super::{MONITOR_INTERVAL, RATE_TIME_CONSTANT};
 use crate::decision::decaying_rate::DecayingRate;
 
-/// Rate of recent messages from which on the pool counts as representing more than one peer.
+/// Minimum rate of recent messages at which the pool counts as representing more than one peer.
 const MIN_POOLED_MESSAGES: f64 = 1.0;
 /// Time constant of pooled statistics: about the length of the ladder's history.
 const POOL_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(1.0);
--- a/src/decision/overload/statistics.rs
+++ b/src/decision/overload/statistics.rs
@@ -29,7 +29,7 @@
 }
 
 impl LoadStatistics {
-    /// Returns the sum of these counts and `other`, scaled by `weight`.
+    /// Returns the sum of these counts and of `other` scaled by `weight`.
     #[must_use]
     pub fn plus(&self, other: &LoadStatistics, weight: f64) -> Self {
         LoadStatistics {
--- a/src/decision/quota/aggregate.rs
+++ b/src/decision/quota/aggregate.rs
@@ -7,7 +7,7 @@
 use crate::api::Plan;
 
 /// How long a receiver relies on an aggregate. The sender repeats one that is still valid every [`REPEAT_INTERVAL`],
-/// which is three times in this period.
+/// three times within this period.
 pub(super) const LIFETIME: TimeSpan = TimeSpan::from_seconds(20.0);
 /// Interval at which an aggregate that is still valid is repeated.
 pub(super) const REPEAT_INTERVAL: TimeSpan = TimeSpan::from_seconds(6.0);
--- a/src/decision/quota/ledger.rs
+++ b/src/decision/quota/ledger.rs
@@ -9,8 +9,8 @@
 use crate::decision::context::Context;
 use crate::decision::hashing::CustomerFingerprint;
 
-/// Number of customers from which on reports of unknown customers are ignored and idle ones are evicted every monitor
-/// interval. It bounds memory under floods of customers that send one request each.
+/// Number of customers at which reports of unknown customers are ignored, and beyond which idle customers are evicted
+/// every monitor interval. It bounds memory under floods of customers that send one request each.
 const MAX_CUSTOMERS: usize = 8192;
 /// Idle time after which a customer is evicted once its quota and ceiling are full.
 const MAX_IDLE_TIME: TimeSpan = TimeSpan::from_seconds(10.0);
@@ -54,7 +54,7 @@
             .or_insert_with(|| CustomerQuota::new(now))
     }
 
-    /// Returns the customer of a request that is being handled, whose entry exists since [`Self::record_request`].
+    /// Returns the customer of a request that is being handled, whose entry was created by [`Self::record_request`].
     pub(super) fn known(&self, customer: CustomerFingerprint) -> &CustomerQuota {
         &self.customers[&customer]
     }
--- a/src/decision/quota/snapshot.rs
+++ b/src/decision/quota/snapshot.rs
@@ -68,8 +68,7 @@
 }
 
 impl CustomerSnapshot {
-    /// Returns true if the plan, if there is one, is below `plans` and has aggregators, and the set of nodes is not
-    /// empty.
+    /// Returns true if the set of nodes is not empty and the plan, if known, is in range and comes with aggregators.
     pub(in crate::decision) fn is_consistent(&self, plans: usize) -> bool {
         let plan_is_consistent = |plan: PlanId| plan.0 < plans && !self.aggregators.is_empty();
         self.node_set_size > 0 && self.plan.is_none_or(plan_is_consistent)
