--- a/crates/zone-failover/src/evaluation.rs
+++ b/crates/zone-failover/src/evaluation.rs
@@ -1,7 +1,8 @@
-//! The rules by which zones are ejected and used again: from one node's view of all zones to the state of each.
+//! The rules for ejecting zones and returning them to use: updates the state of each zone from this node's view of all zones.
 //!
-//! Pure: reads views and settings, changes the states, and returns the changes. Invariants: the last healthy zone is never
-//! ejected, and the endpoints of zones that are not in use never exceed the configured fraction of all.
+//! Free of I/O: reads the views and settings, updates the states, and returns the transitions. Invariants: the last healthy
+//! zone is never ejected, and the endpoints of zones that are not in use never exceed the configured fraction of all
+//! endpoints.
 
 mod assessment;
 mod health;
@@ -15,26 +16,26 @@
 use crate::transition::Transition;
 use crate::zone_state::{ZonePhase, ZoneState};
 
-/// What one node knows of a zone at a moment.
+/// One node's view of a zone at one moment.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ZoneView {
-    /// Endpoints that the list names in it.
+    /// Number of the zone's endpoints in the endpoint list.
     pub(crate) endpoints: u32,
-    /// What this node and the peers that reported recently observed: a sample of the fleet.
+    /// Outcomes observed by this node and by the peers that reported recently: a sample of the fleet.
     pub(crate) fleet: OutcomeSums,
-    /// How many of these nodes found it of no use.
+    /// How many of these nodes vote against the zone.
     pub(crate) votes: u32,
-    /// What this node observed in about the last second.
-    pub(crate) recent: OutcomeSums,
-    /// What this node observed in about the last two seconds.
-    pub(crate) own: OutcomeSums,
-    /// How many of the peers that reported recently know a healthy alternative to it.
+    /// Outcomes observed by this node in about the last second.
+    pub(crate) short_term: OutcomeSums,
+    /// Outcomes observed by this node in about the last two seconds.
+    pub(crate) long_term: OutcomeSums,
+    /// How many of the peers that reported recently know a healthy alternative to the zone.
     pub(crate) peers_with_alternative: u32,
-    /// When this node sent the earliest attempt whose bad outcome it observed in the interval that has just ended.
+    /// Send time of this node's earliest attempt whose bad outcome was observed in the interval that has just ended.
     pub(crate) failure_sent_at: Option<Timestamp>,
-    /// When this node sent the latest attempt that is known to have succeeded.
+    /// Send time of this node's latest attempt that is known to have succeeded.
     pub(crate) last_success_sent_at: Option<Timestamp>,
-    /// Mean share of its usual traffic that peers send to it; none where too few reported.
+    /// Mean share of the zone's usual traffic that peers send to it; `None` if too few peers reported.
     pub(crate) mean_traffic_share: Option<f64>,
 }
 
@@ -42,18 +43,18 @@
 pub(crate) struct Evaluation<'a> {
     pub(crate) settings: &'a Settings,
     pub(crate) now: Timestamp,
-    /// Time since the last evaluation.
+    /// Time since the previous evaluation.
     pub(crate) elapsed: TimeSpan,
-    /// Enough peers reported recently.
+    /// Whether enough peers reported recently.
     pub(crate) has_quorum: bool,
-    /// Nodes that must find a zone of no use before it is ejected.
+    /// Number of nodes that must vote against a zone before it is ejected.
     pub(crate) required_votes: u32,
-    /// By zone.
+    /// Indexed by [`ZoneId`].
     pub(crate) views: &'a [ZoneView],
 }
 
 impl Evaluation<'_> {
-    /// Evaluates all zones, the one with the highest fraction of bad outcomes first, and returns the changes.
+    /// Evaluates all zones, in descending order of the fraction of bad outcomes, and returns the transitions.
     pub(crate) fn run(&self, states: &mut [ZoneState]) -> Vec<(ZoneId, Transition)> {
         let order = self.zones_with_endpoints();
         self.update_failures(&order, states);
@@ -78,8 +79,8 @@
         transitions
     }
 
-    /// Zones that the endpoint list names, the one with the highest fraction of bad outcomes first: where the settings allow
-    /// one more zone to be ejected, it is the worst.
+    /// Zones with endpoints, in descending order of the fraction of bad outcomes: if the settings allow only one more
+    /// ejection, the worst zone is ejected.
     fn zones_with_endpoints(&self) -> Vec<ZoneId> {
         let bad_fraction = |zone: &ZoneId| self.view(*zone).fleet.bad_fraction();
         let mut order: Vec<ZoneId> = (0..self.views.len())
--- a/crates/zone-failover/src/evaluation/assessment.rs
+++ b/crates/zone-failover/src/evaluation/assessment.rs
@@ -1,4 +1,4 @@
-//! What the rules need to know of one zone besides its state.
+//! Assessment of one zone in the context of the others.
 
 use applewall_node_types::TimeSpan;
 
@@ -7,34 +7,34 @@
 use crate::observation::OutcomeSums;
 use crate::zone_state::ZoneState;
 
-/// Outcomes of a zone that this node and the peers that reported must have observed recently before it is judged.
+/// Minimum number of recent outcomes, from this node and the peers that reported, before a zone may be found failing.
 const MIN_FLEET_OUTCOMES: f64 = 2.5;
-/// Outcomes of this node's own that suffice to show that a zone works: reports of peers do not eject it then.
-const MIN_OWN_OUTCOMES: f64 = 1.5;
-/// The same for the last second alone.
-const MIN_RECENT_OUTCOMES: f64 = 1.0;
-/// Time after a zone was ejected in which other zones may fail, without being dead, because of the load that moved to them.
+/// Minimum number of this node's own outcomes to show that a zone works. If it does, peers' reports do not eject it.
+const MIN_LONG_TERM_OUTCOMES: f64 = 1.5;
+/// The same minimum for the outcomes of about the last second.
+const MIN_SHORT_TERM_OUTCOMES: f64 = 1.0;
+/// Time after an ejection during which other zones may fail, although reachable, because of the load that moved to them.
 const SHIFTED_LOAD_PERIOD: TimeSpan = TimeSpan::from_seconds(10.0);
 
-/// What the rules need to know of one zone besides its state.
+/// The inputs of the phase rules for one zone, apart from its state.
 pub(super) struct Assessment {
-    /// Enough nodes observe that it fails.
+    /// Enough nodes observe that the zone fails, and this node's own attempts do not contradict them.
     pub(super) is_failing: bool,
-    /// This node's own attempts succeed there.
-    pub(super) works_here: bool,
-    /// This node's own attempts show that another zone in use is healthy.
+    /// This node's own attempts in the zone succeed.
+    pub(super) succeeds_locally: bool,
+    /// This node's own attempts prove that another zone in use is healthy.
     pub(super) has_own_alternative: bool,
-    /// This node, or as many peers as votes are needed, know a healthy alternative. Without one, everything is overloaded,
-    /// or this node is cut off.
+    /// This node, or at least `required_votes` peers, know a healthy alternative. Without one, either all zones are
+    /// overloaded or this node is isolated.
     pub(super) has_healthy_alternative: bool,
-    /// The fraction of endpoints that may be out of use allows one more zone.
-    pub(super) may_eject: bool,
-    /// Mean share of its usual traffic that peers send to it, where enough of them reported.
+    /// Ejecting the zone would keep the endpoints out of use within the configured fraction.
+    pub(super) is_within_ejection_limit: bool,
+    /// Mean share of the zone's usual traffic that peers send to it; `None` without a quorum.
     pub(super) mean_traffic_share: Option<f64>,
 }
 
 impl Evaluation<'_> {
-    /// Assesses a zone beside the others.
+    /// Assesses a zone in the context of the others.
     pub(super) fn assess(
         &self,
         zone: ZoneId,
@@ -42,7 +42,7 @@
         states: &[ZoneState],
     ) -> Assessment {
         let view = self.view(zone);
-        let works_here = self.works_here(view);
+        let succeeds_locally = self.succeeds_locally(view);
         let is_healthy_alternative = |other: &ZoneId| {
             *other != zone
                 && states[other.0].is_in_use()
@@ -52,32 +52,32 @@
         let is_failing = self.has_quorum
             && self.has_enough_evidence(view)
             && self.counted_bad_fraction(zone, states) >= self.settings.leave_at
-            && !works_here;
+            && !succeeds_locally;
         Assessment {
             is_failing,
-            works_here,
+            succeeds_locally,
             has_own_alternative,
             has_healthy_alternative: has_own_alternative
                 || view.peers_with_alternative >= self.required_votes,
-            may_eject: self.may_eject(view, states),
+            is_within_ejection_limit: self.is_within_ejection_limit(view, states),
             mean_traffic_share: view.mean_traffic_share.filter(|_| self.has_quorum),
         }
     }
 
-    /// True if enough nodes vote that a zone is of no use, and enough outcomes were observed to judge it.
+    /// Whether enough nodes vote against the zone, and enough outcomes were observed.
     pub(super) fn has_enough_evidence(&self, view: &ZoneView) -> bool {
         view.votes >= self.required_votes && view.fleet.total() >= MIN_FLEET_OUTCOMES
     }
 
-    /// True if this node's own attempts succeed, and those of the last second too, if there are any.
-    fn works_here(&self, view: &ZoneView) -> bool {
-        self.shows_success(&view.own, MIN_OWN_OUTCOMES)
-            && (view.recent.total() < MIN_RECENT_OUTCOMES
-                || self.shows_success(&view.recent, MIN_RECENT_OUTCOMES))
+    /// Whether this node's own attempts succeed, including those of the last second if there are enough of them.
+    fn succeeds_locally(&self, view: &ZoneView) -> bool {
+        self.shows_success(&view.long_term, MIN_LONG_TERM_OUTCOMES)
+            && (view.short_term.total() < MIN_SHORT_TERM_OUTCOMES
+                || self.shows_success(&view.short_term, MIN_SHORT_TERM_OUTCOMES))
     }
 
-    /// Fraction of the outcomes that count against a zone. A zone that fails without being dead soon after another was
-    /// ejected may be overloaded by the traffic that moved, which is for admission control to limit.
+    /// Fraction of the outcomes that count against a zone. Shortly after another zone was ejected, only dead outcomes count:
+    /// other failures may be overload by the shifted traffic, which admission control has to limit.
     fn counted_bad_fraction(&self, zone: ZoneId, states: &[ZoneState]) -> f64 {
         let load_has_shifted = states.iter().any(|state| {
             !state.is_in_use() && state.phase_duration(self.now) < SHIFTED_LOAD_PERIOD
@@ -90,8 +90,8 @@
         }
     }
 
-    /// True if the endpoints of this zone and of all zones that are out of use are within the configured fraction.
-    fn may_eject(&self, view: &ZoneView, states: &[ZoneState]) -> bool {
+    /// Whether the endpoints of this zone and of all zones out of use together are within the configured fraction.
+    fn is_within_ejection_limit(&self, view: &ZoneView, states: &[ZoneState]) -> bool {
         let all: u32 = self.views.iter().map(|view| view.endpoints).sum();
         let out_of_use: u32 = (self.views.iter().zip(states))
             .filter(|(_, state)| !state.is_in_use())
@@ -100,7 +100,7 @@
         f64::from(out_of_use + view.endpoints) <= self.settings.most_out * f64::from(all)
     }
 
-    /// True if at least so many outcomes were observed, and few of them were bad.
+    /// Whether there are at least `min_outcomes` outcomes and few of them are bad.
     pub(super) fn shows_success(&self, sums: &OutcomeSums, min_outcomes: f64) -> bool {
         sums.total() >= min_outcomes && sums.bad_fraction() < self.settings.leave_at / 2.0
     }
--- a/crates/zone-failover/src/evaluation/health.rs
+++ b/crates/zone-failover/src/evaluation/health.rs
@@ -1,9 +1,9 @@
-//! Which zones are healthy alternatives to one that fails.
+//! Detection of healthy alternatives to a failing zone.
 //!
-//! Where all zones fail at once, the good outcomes from before the failure make each zone look healthy beside the others
-//! until they have faded. So what counts is not how many good outcomes there are, but when their attempts were sent: an
-//! alternative is proven healthy by an attempt of this node that was sent after the failing zone was seen to fail. The
-//! order of the two moments holds on this node's own clock, whatever the fleet's size, and however messages are delayed.
+//! When all zones fail at once, good outcomes from before the failure make the other zones look healthy until they have
+//! decayed. The number of good outcomes is therefore no proof of health. An alternative is proven healthy by a successful
+//! attempt of this node that was sent after the failing zone began to fail. Both times are read from this node's own clock,
+//! so their order does not depend on the fleet's size or on message delays.
 
 use applewall_node_types::TimeSpan;
 
@@ -11,20 +11,21 @@
 use crate::id::ZoneId;
 use crate::zone_state::{FailurePeriod, ZoneState};
 
-/// Fraction of `leave_at` up to which another zone is healthy: where all zones fail at once, none is far behind the others.
+/// A zone is healthy up to this fraction of `leave_at`. When all zones fail at once, their bad fractions are close to each
+/// other, so that none passes as healthy.
 const HEALTHY_FRACTION: f64 = 0.25;
-/// Time without a sign of a failure after which it is over: the view depends on the messages that count at a moment, and a
-/// failure that is shown again after a gap is the same one.
+/// Time without an indication of the failure after which it counts as over. Shorter gaps belong to the same failure, since
+/// the view varies with the messages that have not expired.
 const MAX_FAILURE_GAP: TimeSpan = TimeSpan::from_seconds(1.0);
 
 impl Evaluation<'_> {
-    /// Updates since when each zone fails.
+    /// Updates the failure period of each zone.
     pub(super) fn update_failures(&self, order: &[ZoneId], states: &mut [ZoneState]) {
         for &zone in order {
             let failure = &mut states[zone.0].failure;
             if self.shows_failure(zone) {
                 let known_since = failure.map_or(self.now, |known| known.began_at);
-                // Its first failed attempt was sent before its outcome was known.
+                // The first failed attempt was sent before its outcome became known.
                 let began_at = match self.view(zone).failure_sent_at {
                     Some(sent_at) if sent_at < known_since => sent_at,
                     _ => known_since,
@@ -40,13 +41,14 @@
         }
     }
 
-    /// True where most of what the fleet observes of a zone is bad. That dates the failure; an ejection needs more evidence.
+    /// Whether the fleet's bad fraction has reached `leave_at`. This determines when a failure began; an ejection needs more
+    /// evidence.
     fn shows_failure(&self, zone: ZoneId) -> bool {
         let view = self.view(zone);
         view.fleet.bad_fraction() >= self.settings.leave_at
     }
 
-    /// True where a zone is healthy, and an attempt that this node sent there since the failing zone fails has succeeded.
+    /// Whether a zone is healthy and an attempt that this node sent to it after the other zone began to fail has succeeded.
     pub(super) fn is_proven_healthy(&self, zone: ZoneId, failing: &ZoneState) -> bool {
         let last_success_sent_at = self.view(zone).last_success_sent_at;
         let is_proven = failing.failure.is_some_and(|failure| {
@@ -55,11 +57,11 @@
         is_proven && self.is_healthy(zone)
     }
 
-    /// True where neither this node nor the fleet observes more than a few bad outcomes.
+    /// Whether neither this node nor the fleet observes more than a small fraction of bad outcomes.
     fn is_healthy(&self, zone: ZoneId) -> bool {
         let view = self.view(zone);
         let max_bad_fraction = self.settings.leave_at * HEALTHY_FRACTION;
         view.fleet.bad_fraction() <= max_bad_fraction
-            && view.recent.bad_fraction() <= max_bad_fraction
+            && view.short_term.bad_fraction() <= max_bad_fraction
     }
 }
--- a/crates/zone-failover/src/event.rs
+++ b/crates/zone-failover/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the core and what comes out of it.
+//! Inputs and outputs of the core.
 
 use applewall_node_types::{NodeId, Outgoing, Timestamp};
 
@@ -7,65 +7,65 @@
 use crate::observation::Observation;
 use crate::transition::ZoneTransition;
 
-/// What a node knows when it starts.
+/// Parameters of a node at its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Start<'a> {
-    /// Names of all zones: the same ones, in any order, at all nodes.
+    /// Names of all zones, in any order. All nodes must have the same set.
     pub zone_names: &'a [String],
-    /// Nodes in the fleet.
+    /// Number of nodes in the fleet.
     pub fleet_size: u32,
-    /// The node itself.
+    /// The id of this node.
     pub node: NodeId,
-    /// Seed of its random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// When it starts.
+    /// Time of the start.
     pub now: Timestamp,
 }
 
-/// How many endpoints the list names in a zone.
+/// The number of endpoints in a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneEndpoints {
     /// The zone's name.
     pub zone: String,
-    /// How many endpoints are ready.
+    /// Number of endpoints in service.
     pub endpoints: u32,
 }
 
 /// An event for the core.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The endpoint list changed: all zones that have endpoints. Zones that are not configured are ignored.
+    /// The endpoint list changed. Contains all zones that have endpoints; zones that are not configured are ignored.
     EndpointsListed(Vec<ZoneEndpoints>),
-    /// An attempt ended, or is long overdue.
+    /// An attempt ended or is long overdue.
     AttemptObserved {
         /// The endpoint's zone.
         zone: ZoneId,
-        /// The endpoint.
+        /// The endpoint that the attempt was sent to.
         endpoint: EndpointId,
-        /// The outcome.
+        /// The outcome of the attempt.
         observation: Observation,
-        /// When the attempt was sent.
+        /// Send time of the attempt.
         sent_at: Timestamp,
     },
-    /// A peer's message arrived.
+    /// A message of a peer arrived.
     MessageReceived {
-        /// The sending node.
+        /// The sender.
         from: NodeId,
-        /// The message.
+        /// The decoded message.
         message: ZoneMessage,
     },
-    /// An interval of about 100 ms passed.
+    /// The evaluation interval of about 100 ms elapsed.
     IntervalElapsed,
 }
 
-/// A message and the peer to send it to.
+/// A zone message and its receiver.
 pub type OutgoingMessage = Outgoing<ZoneMessage>;
 
-/// What the caller has to do after an input.
+/// Actions for the caller to take after an input.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
-    /// Messages to send, in this order: one at most in an interval.
+    /// Messages to send, at most one per interval.
     pub messages: Vec<OutgoingMessage>,
-    /// Changes of zones, to be logged.
+    /// Phase transitions to log.
     pub transitions: Vec<ZoneTransition>,
 }
--- a/crates/zone-failover/src/failover.rs
+++ b/crates/zone-failover/src/failover.rs
@@ -1,7 +1,7 @@
-//! The core of one node: what it knows of the zones and of its peers, and how an input changes that.
+//! The zone failover state machine of one node: its view of the zones and of its peers, and how each input updates it.
 //!
-//! Owned by the engine's task. Invariants: a message is counted once, and a peer has no more weight than any other node,
-//! whatever it reports.
+//! Owned by the engine's task. Invariants: each message is counted at most once, and no peer carries more weight than any
+//! other node, whatever it reports.
 
 mod gossip;
 mod zone_views;
@@ -19,41 +19,43 @@
 use crate::evaluation::Evaluation;
 use crate::event::{Input, Output, Start, ZoneEndpoints};
 use crate::id::ZoneId;
-use crate::observation::{OutcomeSums, Retention, ZoneObservations};
+use crate::observation::{DecayFactors, OutcomeSums, ZoneObservations};
 use crate::settings::Settings;
 use crate::transition::ZoneTransition;
 use crate::zone_state::{ZonePhase, ZoneState};
 
-/// Time constant with which the outcomes fade that are reported to peers: short, since good ones from before a failure
-/// hide it.
-const RECENT_MEMORY: TimeSpan = TimeSpan::from_seconds(1.0);
-/// Time constant with which the outcomes fade that this node relies on itself: longer, since these are fewer than the
-/// fleet's.
-const OWN_MEMORY: TimeSpan = TimeSpan::from_seconds(2.0);
-/// Fraction of bad outcomes that is a sign of a failure, given [`MIN_FAILURE_SIGN_OUTCOMES`].
-const FAILURE_SIGN_FRACTION: f64 = 0.1;
-/// Outcomes that must have been observed before their bad fraction is a sign of a failure.
-const MIN_FAILURE_SIGN_OUTCOMES: f64 = 1.0;
-/// Peers that must have reported before a zone is judged; all of them in a smaller fleet.
+/// Time constant of the exponential decay of the outcomes that are reported to peers. Short, because good outcomes from
+/// before a failure mask it.
+const SHORT_TERM_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(1.0);
+/// Time constant of the exponential decay of the outcomes on which this node bases its own decisions. Longer, because one
+/// node has fewer samples than the fleet.
+const LONG_TERM_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(2.0);
+/// Fraction of bad outcomes above which a failure is indicated, given [`MIN_FAILURE_INDICATION_OUTCOMES`].
+const FAILURE_INDICATION_FRACTION: f64 = 0.1;
+/// Minimum number of outcomes before their bad fraction can indicate a failure.
+const MIN_FAILURE_INDICATION_OUTCOMES: f64 = 1.0;
+/// Number of peers that must have reported before a zone is evaluated; in a smaller fleet, all peers.
 const QUORUM: u32 = 3;
-/// Time for which a peer's sequence number is stored: longer than its message counts, or a late one would count again.
+/// How long a peer's sequence number is retained. Longer than the message lifetime, so that a delayed duplicate is not
+/// counted again.
 const SEQUENCE_LIFETIME: TimeSpan = TimeSpan::from_seconds(60.0);
-/// Grace period after the start, in which a node observes too little to judge: it adopts the fleet's decisions.
+/// Grace period after startup, during which the node has too few observations of its own and adopts the fleet's decisions.
 const GRACE_PERIOD: TimeSpan = TimeSpan::from_seconds(3.0);
-/// Longest gap between two intervals, ten of them. After a longer one the process was stopped, and its observations are
-/// outdated.
+/// Maximum gap between two evaluations (ten intervals). A longer gap means that the process was suspended and its
+/// observations are outdated.
 const MAX_INTERVAL_GAP: TimeSpan = TimeSpan::from_seconds(1.0);
-/// Bounds canary traffic, as a share of a zone's usual traffic: a node with few requests must not send all of them.
+/// Upper bound on canary traffic, as a share of a zone's usual traffic: a node with few requests must not use all of them
+/// as canaries.
 const MAX_CANARY_SHARE: f64 = 0.1;
-/// Prevents a division by zero at a node without requests.
+/// Avoids a division by zero on a node without requests.
 const MIN_REQUESTS_PER_SECOND: f64 = 1e-9;
 
-/// Decides what share of its usual traffic each zone gets from one node. See the [crate documentation](crate).
+/// Decides which share of its usual traffic one node sends to each zone. See the [crate documentation](crate).
 #[derive(Clone, Debug)]
 pub struct ZoneFailover {
     settings: Settings,
-    /// Sorted; a zone's number is its index here, the same at all nodes.
-    names: Vec<String>,
+    /// Sorted. A zone's id is its index in this list and is the same on all nodes.
+    zone_names: Vec<String>,
     observations: Vec<ZoneObservations>,
     endpoints: Vec<u32>,
     states: Vec<ZoneState>,
@@ -62,33 +64,34 @@
     incarnation: u32,
     sequence: u32,
     rng: SmallRng,
-    /// The last message of each peer.
+    /// The latest message of each peer.
     received: BTreeMap<NodeId, ReceivedMessage>,
     started_at: Timestamp,
     last_interval_at: Timestamp,
     intervals: u32,
-    /// When a sign of a failure was last observed here or reported.
-    last_failure_sign_at: Option<Timestamp>,
+    /// When a failure was last indicated, by this node's own observations or by a peer's report.
+    last_failure_indication_at: Option<Timestamp>,
 }
 
-/// True if the outcomes are a sign of a failure.
-fn shows_failures(sums: &OutcomeSums) -> bool {
-    sums.bad_fraction() > FAILURE_SIGN_FRACTION && sums.total() >= MIN_FAILURE_SIGN_OUTCOMES
+/// Whether the outcomes indicate a failure.
+fn indicates_failure(sums: &OutcomeSums) -> bool {
+    sums.bad_fraction() > FAILURE_INDICATION_FRACTION
+        && sums.total() >= MIN_FAILURE_INDICATION_OUTCOMES
 }
 
 impl ZoneFailover {
-    /// The core of a node that starts now.
+    /// Creates the state of a node that starts at `start.now`.
     pub fn new(settings: &Settings, start: Start<'_>) -> Self {
-        let mut names = start.zone_names.to_vec();
-        names.sort();
-        names.dedup();
+        let mut zone_names = start.zone_names.to_vec();
+        zone_names.sort();
+        zone_names.dedup();
         let mut rng = SmallRng::seed_from_u64(start.seed);
         ZoneFailover {
             settings: settings.clone(),
-            observations: vec![ZoneObservations::default(); names.len()],
-            endpoints: vec![0; names.len()],
-            states: vec![ZoneState::new(start.now); names.len()],
-            names,
+            observations: vec![ZoneObservations::default(); zone_names.len()],
+            endpoints: vec![0; zone_names.len()],
+            states: vec![ZoneState::new(start.now); zone_names.len()],
+            zone_names,
             fleet_size: start.fleet_size.max(1),
             node: start.node,
             incarnation: rng.random(),
@@ -98,34 +101,34 @@
             started_at: start.now,
             last_interval_at: start.now,
             intervals: 0,
-            last_failure_sign_at: None,
+            last_failure_indication_at: None,
         }
     }
 
-    /// Names of all zones, by their numbers.
+    /// Names of all zones, indexed by [`ZoneId`].
     pub fn zone_names(&self) -> &[String] {
-        &self.names
+        &self.zone_names
     }
 
-    /// The number of a zone.
+    /// The id of the zone with this name; `None` for an unknown zone.
     pub fn zone_number(&self, name: &str) -> Option<ZoneId> {
-        self.names
+        self.zone_names
             .binary_search_by(|known| known.as_str().cmp(name))
             .ok()
             .map(ZoneId)
     }
 
-    /// How this node uses a zone; one that it does not know is in use.
+    /// The zone's phase on this node. Unknown zones count as in use.
     pub fn phase(&self, zone: ZoneId) -> ZonePhase {
         self.states
             .get(zone.0)
             .map_or(ZonePhase::InUse, |state| state.phase)
     }
 
-    /// Share of its usual traffic that a zone gets from this node now, canaries included: 0 to 1.
+    /// The share of the zone's usual traffic, from 0 to 1, that this node currently sends to it, canary traffic included.
     ///
-    /// Canaries are a few requests a second of the fleet, and not of each node. With the fleet's usual traffic into the zone
-    /// estimated from this node's requests, each node sends `canaries_per_s / usual_per_second` of its own traffic there.
+    /// The canary rate is a limit for the whole fleet, not for each node. The fleet's usual traffic into the zone is
+    /// extrapolated from this node's requests, and each node sends the share `canaries_per_s / usual_per_second`.
     ///
     /// Tests: `canaries_are_a_few_requests_a_second_of_the_fleet`,
     /// `failing_zone_is_ejected_by_most_nodes_within_two_seconds_and_then_gets_only_canaries`.
@@ -138,15 +141,15 @@
         }
         let all: u32 = self.endpoints.iter().sum();
         let zone_fraction = f64::from(self.endpoints[zone.0]) / f64::from(all.max(1));
-        let outcomes = self.observations.iter().map(|zone| zone.own.total());
-        let requests_per_second = outcomes.sum::<f64>() / OWN_MEMORY.as_seconds();
+        let outcomes = self.observations.iter().map(|zone| zone.long_term.total());
+        let requests_per_second = outcomes.sum::<f64>() / LONG_TERM_TIME_CONSTANT.as_seconds();
         let usual_per_second = f64::from(self.fleet_size) * requests_per_second * zone_fraction;
         let canary_share =
             self.settings.canaries_per_s / usual_per_second.max(MIN_REQUESTS_PER_SECOND);
         state.traffic_share.max(canary_share.min(MAX_CANARY_SHARE))
     }
 
-    /// Processes an input at the time `now`, which never decreases.
+    /// Processes an input. `now` must not decrease between calls.
     pub fn handle(&mut self, now: Timestamp, input: Input) -> Output {
         match input {
             Input::EndpointsListed(zones) => self.set_endpoints(&zones),
@@ -179,7 +182,7 @@
         let elapsed = (now - self.last_interval_at).max(TimeSpan::ZERO);
         self.last_interval_at = now;
         if elapsed > MAX_INTERVAL_GAP {
-            self.resume_after_stop(now);
+            self.resume_after_suspension(now);
         }
         self.update_observations(now, elapsed);
         let views = self.views(now);
@@ -188,7 +191,7 @@
             settings: &self.settings,
             now,
             elapsed,
-            has_quorum: self.has_quorum(now) && !self.is_cut_off(&views),
+            has_quorum: self.has_quorum(now) && !self.is_isolated(&views),
             required_votes: required_peers.max(1),
             views: &views,
         };
@@ -196,7 +199,7 @@
             .run(&mut self.states)
             .into_iter()
             .map(|(zone, transition)| ZoneTransition {
-                zone: self.names[zone.0].clone(),
+                zone: self.zone_names[zone.0].clone(),
                 transition,
             })
             .collect();
@@ -212,35 +215,35 @@
     }
 
     fn update_observations(&mut self, now: Timestamp, elapsed: TimeSpan) {
-        let retention = Retention {
-            recent: (-(elapsed / RECENT_MEMORY)).exp(),
-            own: (-(elapsed / OWN_MEMORY)).exp(),
+        let decay = DecayFactors {
+            short_term: (-(elapsed / SHORT_TERM_TIME_CONSTANT)).exp(),
+            long_term: (-(elapsed / LONG_TERM_TIME_CONSTANT)).exp(),
         };
         for observations in &mut self.observations {
-            observations.end_interval(retention);
+            observations.end_interval(decay);
         }
         self.received
             .retain(|_, received| now - received.at < SEQUENCE_LIFETIME);
         let zones = self.observations.iter().zip(&self.states);
-        let has_failures = zones
-            .into_iter()
-            .any(|(observations, state)| shows_failures(&observations.own) || !state.is_in_use());
+        let has_failures = zones.into_iter().any(|(observations, state)| {
+            indicates_failure(&observations.long_term) || !state.is_in_use()
+        });
         if has_failures {
-            self.last_failure_sign_at = Some(now);
+            self.last_failure_indication_at = Some(now);
         }
     }
 
-    /// The process, or its machine, was stopped: its observations and decisions are outdated, and it adopts those of the
-    /// fleet.
-    fn resume_after_stop(&mut self, now: Timestamp) {
+    /// Discards outdated observations and decisions after the process or its machine was suspended, so that the node adopts
+    /// the fleet's decisions.
+    fn resume_after_suspension(&mut self, now: Timestamp) {
         for (observations, state) in self.observations.iter_mut().zip(&mut self.states) {
             *observations = ZoneObservations::default();
             state.failure = None;
             if !state.is_in_use() {
-                // Canaries at first; the fleet's mean share shows within a second whether the others use the zone.
+                // Restart with canary traffic. Within a second the fleet's mean share shows whether peers use the zone.
                 state.eject(now);
             }
         }
-        self.last_failure_sign_at = Some(now);
+        self.last_failure_indication_at = Some(now);
     }
 }
--- a/crates/zone-failover/src/failover/gossip.rs
+++ b/crates/zone-failover/src/failover/gossip.rs
@@ -1,24 +1,25 @@
-//! Messages between nodes: what peers report, and when this node sends its own observations.
+//! Gossip: processing of peers' reports, and scheduling of this node's own messages.
 
 use applewall_node_types::{NodeId, TimeSpan, Timestamp};
 use rand::Rng;
 
-use super::{shows_failures, ZoneFailover, FAILURE_SIGN_FRACTION, GRACE_PERIOD, QUORUM};
+use super::{indicates_failure, ZoneFailover, FAILURE_INDICATION_FRACTION, GRACE_PERIOD, QUORUM};
 use crate::evaluation::ZoneView;
 use crate::event::OutgoingMessage;
 use crate::message::{ZoneMessage, ZoneReport, MAX_ZONES_WITH_ALTERNATIVE};
 
-/// Intervals between two messages while a zone fails and is not ejected yet: each interval counts until it is.
+/// Evaluation intervals per message while a zone fails and is not ejected yet, when fast detection matters most.
 const INTERVALS_PER_MESSAGE_PENDING: u32 = 1;
-/// Intervals between two messages otherwise, while a zone is ejected or returning: five messages a second of the 40
-/// datagrams that a node accepts.
+/// Evaluation intervals per message otherwise, while a zone is ejected or returning: five messages per second, out of the
+/// 40 datagrams per second that a node accepts.
 const INTERVALS_PER_MESSAGE: u32 = 2;
-/// Time after the last sign of a failure for which a node sends messages; without one it sends none.
+/// How long a node keeps sending messages after the last indication of a failure. Without a failure it sends none.
 const IDLE_TIMEOUT: TimeSpan = TimeSpan::from_seconds(2.0);
-/// Time for which a peer's message counts: several messages of each peer, so that a lost one changes little.
+/// How long a peer's message is taken into account. Covers several messages of each peer, so that losing one has little
+/// effect.
 const MESSAGE_LIFETIME: TimeSpan = TimeSpan::from_seconds(1.5);
 
-/// A peer's last message.
+/// A peer's latest message and its time of arrival.
 #[derive(Clone, Debug)]
 pub(super) struct ReceivedMessage {
     pub(super) at: Timestamp,
@@ -26,29 +27,29 @@
 }
 
 impl ZoneFailover {
-    /// Stores a peer's message; one that is old, repeated or foreign changes nothing.
+    /// Stores a peer's message. Ignores outdated and duplicated messages, and senders outside the fleet.
     pub(super) fn receive(&mut self, now: Timestamp, from: NodeId, message: ZoneMessage) {
         if from.0 >= self.fleet_size || from == self.node {
             return;
         }
-        // A peer that restarted begins its sequence again; within an incarnation only what is newer counts.
-        let is_old = self.received.get(&from).is_some_and(|last| {
+        // Sequence numbers restart with each incarnation of the peer, so they are compared only within one incarnation.
+        let is_stale = self.received.get(&from).is_some_and(|last| {
             last.message.incarnation == message.incarnation
                 && message.sequence <= last.message.sequence
         });
-        if is_old {
+        if is_stale {
             return;
         }
         let reports_failures =
-            |report: &ZoneReport| shows_failures(&report.sums) || report.traffic_share < 1.0;
+            |report: &ZoneReport| indicates_failure(&report.sums) || report.traffic_share < 1.0;
         if message.reports.iter().any(reports_failures) {
-            self.last_failure_sign_at = Some(now);
+            self.last_failure_indication_at = Some(now);
         }
         self.received
             .insert(from, ReceivedMessage { at: now, message });
     }
 
-    /// Messages that count now, in the order of their senders.
+    /// Messages that have not expired, ordered by sender.
     pub(super) fn current_messages(&self, now: Timestamp) -> impl Iterator<Item = &ZoneMessage> {
         self.received
             .values()
@@ -56,19 +57,19 @@
             .map(|received| &received.message)
     }
 
-    /// True if enough peers reported to judge zones. In a small fleet messages come often enough to outweigh losses; in a
-    /// large one they are a sample.
+    /// Whether enough peers have reported to evaluate zones. In a small fleet, messages are frequent enough to compensate for
+    /// losses; in a large one, the reports are a sample of the fleet.
     pub(super) fn has_quorum(&self, now: Timestamp) -> bool {
         let reporting = self.current_messages(now).count() as u32;
-        let is_pooled =
+        let has_enough_reports =
             reporting >= QUORUM.min(self.fleet_size - 1) && now - self.started_at >= GRACE_PERIOD;
-        is_pooled || self.fleet_size == 1
+        has_enough_reports || self.fleet_size == 1
     }
 
-    /// True if this node sends a message in the interval that has just ended.
+    /// Whether this node sends a message at the end of the current interval.
     pub(super) fn is_message_due(&self, now: Timestamp, views: &[ZoneView]) -> bool {
         let is_pending = views.iter().zip(&self.states).any(|(view, state)| {
-            state.is_in_use() && view.fleet.bad_fraction() > FAILURE_SIGN_FRACTION
+            state.is_in_use() && view.fleet.bad_fraction() > FAILURE_INDICATION_FRACTION
         });
         let intervals = if is_pending {
             INTERVALS_PER_MESSAGE_PENDING
@@ -76,12 +77,12 @@
             INTERVALS_PER_MESSAGE
         };
         let is_active = self
-            .last_failure_sign_at
-            .is_some_and(|last_sign_at| now - last_sign_at < IDLE_TIMEOUT);
+            .last_failure_indication_at
+            .is_some_and(|last_indication_at| now - last_indication_at < IDLE_TIMEOUT);
         self.fleet_size > 1 && is_active && self.intervals.is_multiple_of(intervals)
     }
 
-    /// What this node observed itself, for a random peer.
+    /// Builds a message with this node's own observations, addressed to a random peer.
     pub(super) fn message(&mut self) -> OutgoingMessage {
         let distance = 1 + self.rng.random_range(0..self.fleet_size - 1);
         let to = self.node.successor(distance, self.fleet_size);
@@ -95,23 +96,22 @@
         OutgoingMessage { to, message }
     }
 
-    /// Zones to which this node itself knows a healthy alternative: what peers told it is not passed on.
+    /// Failing zones for which this node's own attempts show a healthy alternative. Reports of peers are not forwarded.
     fn zones_with_alternative(&self) -> Vec<u16> {
-        (0..self.names.len())
+        (0..self.zone_names.len())
             .filter(|zone| self.states[*zone].has_own_alternative)
             .map(|zone| zone as u16)
             .take(MAX_ZONES_WITH_ALTERNATIVE)
             .collect()
     }
 
-    /// Reports on all zones with endpoints, those with the highest fraction of bad outcomes first: about ten fit into
-    /// a message.
+    /// Reports on all zones with endpoints, in descending order of the fraction of bad outcomes: a message holds about ten.
     fn reports(&self) -> Vec<ZoneReport> {
-        let mut reports: Vec<ZoneReport> = (0..self.names.len())
+        let mut reports: Vec<ZoneReport> = (0..self.zone_names.len())
             .filter(|zone| self.endpoints[*zone] > 0)
             .map(|zone| ZoneReport {
                 zone: zone as u16,
-                sums: self.observations[zone].recent,
+                sums: self.observations[zone].short_term,
                 traffic_share: self.states[zone].traffic_share,
             })
             .collect();
--- a/crates/zone-failover/src/failover/tests.rs
+++ b/crates/zone-failover/src/failover/tests.rs
@@ -1,9 +1,10 @@
-//! The share of its traffic that a node sends to an ejected zone.
+//! Canary traffic: the share of its traffic that a node sends to an ejected zone.
 
 use super::*;
 use crate::{EndpointId, Observation};
 
-/// A node with two zones of ten endpoints each that has ejected the first, and sent requests to the second in one interval.
+/// A node with two zones of ten endpoints each. It has ejected the first zone and sent `requests` requests to the second
+/// within one interval.
 fn node_with_ejected_zone(fleet_size: u32, requests: u32) -> ZoneFailover {
     let now = Timestamp::from_seconds(0.0);
     let zone_names = ["z0", "z1"].map(String::from);
@@ -37,10 +38,10 @@
 #[test]
 fn canaries_are_a_few_requests_a_second_of_the_fleet() {
     for (fleet_size, requests, expected) in [
-        // 10 requests in a memory of 2 s are 5 a second, and 250 of 100 nodes into each zone: 4 / 250.
+        // 10 requests at a time constant of 2 s are 5 per second: 250 per second from 100 nodes into each zone, so 4 / 250.
         (100, 10, 0.016),
         (1000, 10, 0.0016),
-        // Bounded: 4 / 2.5, and a node without requests.
+        // Limited to 0.1: 4 / 2.5, and a node without requests.
         (1, 10, 0.1),
         (100, 0, 0.1),
     ] {
--- a/crates/zone-failover/src/failover/zone_views.rs
+++ b/crates/zone-failover/src/failover/zone_views.rs
@@ -1,44 +1,44 @@
-//! What this node and its peers observe of each zone, put together.
+//! Aggregation of this node's observations and its peers' reports into one view per zone.
 
 use applewall_node_types::Timestamp;
 
-use super::{ZoneFailover, MIN_FAILURE_SIGN_OUTCOMES, QUORUM};
+use super::{ZoneFailover, MIN_FAILURE_INDICATION_OUTCOMES, QUORUM};
 use crate::evaluation::ZoneView;
 use crate::id::ZoneId;
 use crate::message::ZoneMessage;
 use crate::observation::{OutcomeSums, ZoneObservations};
 
-/// Bounds the outcomes of a zone for which one node counts, its reports included: all nodes have about the same weight, and
-/// a wrong one has no more.
+/// Maximum number of outcomes per zone that count for one node. Gives all nodes about the same weight, so that a faulty
+/// node cannot dominate.
 const MAX_OUTCOMES_PER_NODE: f64 = 3.0;
-/// Bad outcomes from which a node's report is a vote that the zone is of no use: less than one, since outcomes fade within
-/// a second or two, and a node of a large fleet observes a zone more seldom than that.
+/// Minimum number of bad outcomes for a node's report to count as a vote against the zone. Less than one, because outcomes
+/// decay within a second or two, and a node of a large fleet observes a zone less often than that.
 const MIN_BAD_OUTCOMES_PER_VOTE: f64 = 0.3;
 
-/// 1 if the outcomes are a vote that the zone is of no use.
+/// 1 if the outcomes are a vote against the zone, and 0 otherwise.
 fn vote(sums: &OutcomeSums) -> u32 {
     u32::from(sums.bad() >= MIN_BAD_OUTCOMES_PER_VOTE)
 }
 
 impl ZoneFailover {
-    /// The views of all zones.
+    /// The views of all zones, indexed by [`ZoneId`].
     pub(super) fn views(&self, now: Timestamp) -> Vec<ZoneView> {
         let messages: Vec<&ZoneMessage> = self.current_messages(now).collect();
-        (0..self.names.len())
+        (0..self.zone_names.len())
             .map(|zone| self.view(ZoneId(zone), &messages))
             .collect()
     }
 
     fn view(&self, zone: ZoneId, messages: &[&ZoneMessage]) -> ZoneView {
         let ZoneObservations {
-            recent,
-            own,
+            short_term,
+            long_term,
             last_success_sent_at,
             failure_sent_at,
             ..
         } = &self.observations[zone.0];
-        let mut fleet = recent.capped(MAX_OUTCOMES_PER_NODE);
-        let mut votes = vote(recent);
+        let mut fleet = short_term.capped(MAX_OUTCOMES_PER_NODE);
+        let mut votes = vote(short_term);
         let mut share_sum = 0.0;
         let mut peers = 0;
         let reports = messages.iter().filter_map(|message| {
@@ -59,8 +59,8 @@
             endpoints: self.endpoints[zone.0],
             fleet,
             votes,
-            recent: *recent,
-            own: *own,
+            short_term: *short_term,
+            long_term: *long_term,
             peers_with_alternative,
             failure_sent_at: *failure_sent_at,
             last_success_sent_at: *last_success_sent_at,
@@ -68,14 +68,15 @@
         }
     }
 
-    /// True if this node observes that every zone fails: it is cut off itself, which is no reason to eject any.
-    pub(super) fn is_cut_off(&self, views: &[ZoneView]) -> bool {
+    /// Whether this node observes that every zone fails. The node itself is then likely isolated from the network, which is
+    /// no reason to eject a zone.
+    pub(super) fn is_isolated(&self, views: &[ZoneView]) -> bool {
         let observed = || {
             views
                 .iter()
-                .filter(|view| view.own.total() >= MIN_FAILURE_SIGN_OUTCOMES)
+                .filter(|view| view.long_term.total() >= MIN_FAILURE_INDICATION_OUTCOMES)
         };
         observed().count() > 1
-            && observed().all(|view| view.own.bad_fraction() >= self.settings.leave_at)
+            && observed().all(|view| view.long_term.bad_fraction() >= self.settings.leave_at)
     }
 }
--- a/crates/zone-failover/src/id.rs
+++ b/crates/zone-failover/src/id.rs
@@ -1,9 +1,9 @@
-//! Ids of zones and endpoints.
+//! Numeric ids of zones and endpoints.
 
-/// The number of a zone: its index in the sorted list of all zone names, the same at all nodes.
+/// Id of a zone: its index in the sorted list of all zone names, which is the same on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
 
-/// The number of an endpoint, chosen by the caller; messages do not contain it.
+/// Id of an endpoint, assigned by the caller. Local to the node: messages do not contain it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -1,14 +1,14 @@
-//! Zone failover: what share of its usual traffic each zone gets while zones may fail, decided from what the fleet
-//! observes.
+//! Zone failover: decides, from observations of the whole fleet, which share of its usual traffic each zone receives when
+//! zones fail.
 //!
-//! A [`ZoneFailover`] is the sans-I/O core of one node. Its owner passes the time and an [`Input`] to
-//! [`ZoneFailover::handle`], sends the messages of the returned [`Output`] to peers, logs its transitions and routes by
-//! [`ZoneFailover::traffic_share`]. The core opens no socket and reads no clock: a [`Timestamp`] counts from an origin of
-//! the caller's choice. `docs/zones-design.md` lists the rules, their bounds and the alternatives that were rejected.
+//! A [`ZoneFailover`] is the sans-I/O core of one node. The owner passes the current time and an [`Input`] to
+//! [`ZoneFailover::handle`], sends the messages of the returned [`Output`] to peers, logs its transitions, and routes
+//! traffic according to [`ZoneFailover::traffic_share`]. The core does no I/O and reads no clock: the caller chooses the
+//! origin of each [`Timestamp`]. `docs/zones-design.md` documents the rules, their bounds and the rejected alternatives.
 //!
-//! Modules, each of which knows those before it alone: `observation` (outcomes of this node's attempts), `message` (the
-//! same of a peer), `zone_state` and `transition` (how this node uses a zone), `evaluation` (the rules), `failover` (the
-//! core).
+//! Modules, each of which depends only on those listed before it: `observation` (outcomes of this node's attempts),
+//! `message` (observations of a peer), `zone_state` and `transition` (the phases of a zone), `evaluation` (the rules),
+//! `failover` (the core).
 
 mod evaluation;
 mod event;
--- a/crates/zone-failover/src/message.rs
+++ b/crates/zone-failover/src/message.rs
@@ -1,9 +1,9 @@
-//! The zone message: what one node observed of the zones during the last second.
+//! The zone message: one node's observations of the zones during the last second.
 //!
-//! Format `Z1 INCARNATION SEQUENCE [AZONE[,ZONE]...] [ZONE:GOOD:FAILING:DEAD:SHARE]...`, one line of ASCII text of at most 256
-//! bytes; sums and shares are in thousandths; after `A` stand the zones to which the sender knows a healthy alternative. The
-//! field is left out where there are none; versions of before it drop a message that has it. The sequence number grows within an incarnation of the sender, so a message that is duplicated
-//! or late is not counted again.
+//! Format: `Z1 INCARNATION SEQUENCE [AZONE[,ZONE]...] [ZONE:GOOD:FAILING:DEAD:SHARE]...`, one line of ASCII text of at most
+//! 256 bytes. Sums and shares are in thousandths. The `A` field lists the failing zones for which the sender knows a healthy
+//! alternative, and is omitted if there are none; nodes that predate the field drop messages that contain it. The sequence
+//! number increases within an incarnation of the sender, so that duplicated and late messages are not counted again.
 
 #[cfg(test)]
 mod tests;
@@ -12,40 +12,40 @@
 
 /// Tag of the format and its version.
 const TAG: &str = "Z1";
-/// Bounds a message, like every datagram between nodes.
+/// Maximum size of a message, the same for all datagrams between nodes.
 const MAX_MESSAGE_BYTES: usize = 256;
-/// Begins the field of the zones to which the sender knows a healthy alternative.
+/// Prefix of the field that lists the zones for which the sender knows a healthy alternative.
 const ALTERNATIVES_TAG: char = 'A';
-/// Bounds the zones in that field, so that it leaves room for reports.
+/// Maximum number of zones in that field, so that room is left for reports.
 pub(crate) const MAX_ZONES_WITH_ALTERNATIVE: usize = 8;
-/// Sums and shares are sent as multiples of one thousandth.
+/// Sums and shares are transmitted in thousandths.
 const SCALE: f64 = 1000.0;
-/// A share of 1 as it is sent.
+/// Maximum share as transmitted: a share of 1.
 const MAX_SHARE: u64 = 1000;
-/// Bounds a sum as it is sent: 100,000 outcomes a second, far above what one node observes.
+/// Maximum sum as transmitted: 100,000 outcomes per second, far more than one node observes.
 const MAX_SUM: u64 = 100_000_000;
 
 /// Why a datagram could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Another format, or another version of this one.
-    #[error("not a zone message of a known version")]
+    /// The text has another format, or another version of this one.
+    #[error("not a zone message, or an unsupported version of one")]
     UnknownFormat,
-    /// A field is missing, is no number, or is out of range.
+    /// A field is missing, not a number, or out of range.
     #[error("field `{0}` is missing, malformed or out of range")]
     InvalidField(&'static str),
-    /// A report has more fields than the format has.
-    #[error("data after the last field of a report")]
+    /// A report has more fields than the format defines.
+    #[error("trailing data after the last field of a report")]
     TrailingData,
-    /// Two reports on one zone.
-    #[error("zone {0} is reported twice")]
+    /// Two reports refer to the same zone.
+    #[error("duplicate report for zone {0}")]
     DuplicateZone(u16),
 }
 
-/// What the sender observed of one zone.
+/// The sender's observations of one zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneReport {
-    /// Number of the zone: its place in the sorted list of all zone names.
+    /// The zone's index in the sorted list of all zone names.
     pub zone: u16,
     /// Outcomes of the sender's own attempts.
     pub sums: OutcomeSums,
@@ -53,26 +53,26 @@
     pub traffic_share: f64,
 }
 
-/// What the sender observed of all zones.
+/// The sender's observations of all zones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneMessage {
-    /// Drawn by the sender when it started.
+    /// Random number that the sender generated when it started.
     pub incarnation: u32,
-    /// Counts up within an incarnation.
+    /// Increases with each message of an incarnation.
     pub sequence: u32,
-    /// Failing zones to which the sender's own attempts show a healthy alternative.
+    /// Failing zones for which the sender's own attempts show a healthy alternative.
     pub zones_with_alternative: Vec<u16>,
-    /// The zones, in the sender's order of importance.
+    /// Reports on the zones, in descending order of the fraction of bad outcomes.
     pub reports: Vec<ZoneReport>,
 }
 
 impl ZoneMessage {
-    /// True for text that begins like a zone message of this version.
+    /// Whether the text begins with the tag of this format and version.
     pub fn matches(text: &str) -> bool {
         text.starts_with(TAG)
     }
 
-    /// The text to send, with as many reports as fit.
+    /// Encodes the message with as many reports as fit.
     pub fn encode(&self) -> String {
         let scaled = |value: f64| (value.max(0.0) * SCALE).round() as u64;
         let mut text = format!("{TAG} {} {}", self.incarnation, self.sequence);
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     ///
-    /// What is wrong with the text: truncated, of another format or version, out of range or contradictory.
+    /// If the text is truncated, has another format or version, or has a value that is out of range or contradictory.
     pub fn decode(text: &str) -> Result<Self, DecodeError> {
         let mut fields = text
             .strip_prefix(TAG)
@@ -157,7 +157,7 @@
     }
 }
 
-/// The zones to which the sender knows a healthy alternative.
+/// Decodes the list of zones for which the sender knows a healthy alternative.
 fn decode_alternatives(field: &str) -> Result<Vec<u16>, DecodeError> {
     let zones = field.trim_start_matches(ALTERNATIVES_TAG).split(',');
     let zone_number =
@@ -165,7 +165,8 @@
     zones.map(zone_number).collect()
 }
 
-/// A decimal number of at most `max`. Digits alone: the standard library would also accept a leading plus sign.
+/// Parses a decimal number of at most `max`. Checks for digits because the standard library also accepts a leading plus
+/// sign.
 fn decimal(text: Option<&str>, name: &'static str, max: u64) -> Result<u64, DecodeError> {
     text.filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()))
         .and_then(|text| text.parse().ok())
--- a/crates/zone-failover/src/message/tests.rs
+++ b/crates/zone-failover/src/message/tests.rs
@@ -1,4 +1,4 @@
-//! The zone message is decoded as it was encoded, and nothing else is.
+//! Encoding and decoding of the zone message.
 
 use super::*;
 
--- a/crates/zone-failover/src/observation.rs
+++ b/crates/zone-failover/src/observation.rs
@@ -1,47 +1,47 @@
-//! What one node observes of a zone by its own attempts.
+//! A node's observations of a zone, from the outcomes of its own attempts.
 
 use applewall_node_types::Timestamp;
 
 use crate::id::EndpointId;
 
-/// The outcome of an attempt, as far as it depends on the endpoint's zone. Ordered from best to worst.
+/// The outcome of an attempt as evidence on the endpoint's zone. Ordered from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Observation {
-    /// Answered in time.
+    /// A response in time.
     Good,
-    /// Answered late, or with a failure: the endpoint is up and of no use.
+    /// A late response or a failure: the endpoint is reachable but does not serve.
     Failing,
-    /// Not connected, reset, or long overdue: the endpoint may be down.
+    /// Connection failed or reset, or response long overdue: the endpoint may be down.
     Dead,
 }
 
-/// Sums of outcomes that fade with time. Each endpoint counts once per interval at most, so that one bad endpoint does not
-/// make a bad zone.
+/// Exponentially decaying sums of outcomes. Each endpoint counts at most once per interval, so that a single bad endpoint
+/// does not make its zone look bad.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutcomeSums {
-    /// Answered in time.
+    /// See [`Observation::Good`].
     pub good: f64,
-    /// Late or failed.
+    /// See [`Observation::Failing`].
     pub failing: f64,
-    /// Not connected, reset, or long overdue.
+    /// See [`Observation::Dead`].
     pub dead: f64,
 }
 
-/// Prevents a division by zero in a fraction of no outcomes.
+/// Avoids a division by zero where there are no outcomes.
 const MIN_TOTAL: f64 = 1e-9;
 
 impl OutcomeSums {
-    /// All outcomes.
+    /// The sum of all outcomes.
     pub fn total(&self) -> f64 {
         self.good + self.failing + self.dead
     }
 
-    /// Outcomes of no use.
+    /// The sum of failing and dead outcomes.
     pub fn bad(&self) -> f64 {
         self.failing + self.dead
     }
 
-    /// Fraction of the outcomes that are of no use.
+    /// Fraction of the outcomes that are failing or dead.
     pub fn bad_fraction(&self) -> f64 {
         self.bad() / self.total().max(MIN_TOTAL)
     }
@@ -51,7 +51,7 @@
         self.dead / self.total().max(MIN_TOTAL)
     }
 
-    /// All sums times a factor.
+    /// The sums multiplied by `factor`.
     #[must_use]
     pub fn scaled(self, factor: f64) -> OutcomeSums {
         OutcomeSums {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The sums of both.
+    /// The element-wise sum of both.
     #[must_use]
     pub fn plus(self, other: OutcomeSums) -> OutcomeSums {
         OutcomeSums {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Scaled down to at most `max` outcomes in all: a node that observes much, or claims to, weighs no more than others.
+    /// Scaled down to a total of at most `max`, so that a node that reports many outcomes has no more weight than others.
     #[must_use]
     pub fn capped(self, max: f64) -> OutcomeSums {
         self.scaled((max / self.total().max(MIN_TOTAL)).min(1.0))
@@ -88,30 +88,30 @@
     }
 }
 
-/// Endpoints of a zone that are counted in one interval, at most: bounds memory whatever the endpoint list contains.
+/// Maximum number of endpoints of a zone that are counted in one interval. Bounds memory use for any endpoint list.
 const MAX_ENDPOINTS_PER_INTERVAL: usize = 4096;
 
-/// Factors by which sums fade during an interval.
+/// Factors by which the sums decay over one interval.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Retention {
-    pub(crate) recent: f64,
-    pub(crate) own: f64,
+pub(crate) struct DecayFactors {
+    pub(crate) short_term: f64,
+    pub(crate) long_term: f64,
 }
 
-/// What one node observed of one zone.
+/// One node's observations of one zone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneObservations {
-    /// Endpoints observed in the present interval, each with its worst outcome.
+    /// Endpoints observed in the current interval, each with its worst outcome.
     interval: Vec<(EndpointId, Observation)>,
-    /// When the earliest attempt was sent whose bad outcome was observed in the present interval.
+    /// Send time of the earliest attempt whose bad outcome was observed in the current interval.
     interval_failure_sent_at: Option<Timestamp>,
-    /// The same of the interval that ended last.
+    /// The same for the previous interval.
     pub(crate) failure_sent_at: Option<Timestamp>,
-    /// Of about the last second: reported to peers.
-    pub(crate) recent: OutcomeSums,
-    /// Of about the last two seconds: for decisions of this node alone.
-    pub(crate) own: OutcomeSums,
-    /// When the latest attempt was sent that is known to have succeeded.
+    /// Outcomes of about the last second, as reported to peers.
+    pub(crate) short_term: OutcomeSums,
+    /// Outcomes of about the last two seconds, for this node's own decisions.
+    pub(crate) long_term: OutcomeSums,
+    /// Send time of the latest attempt that is known to have succeeded.
     pub(crate) last_success_sent_at: Option<Timestamp>,
 }
 
@@ -142,14 +142,14 @@
         }
     }
 
-    /// Ends an interval: earlier sums fade, and the outcomes of the interval are added.
-    pub(crate) fn end_interval(&mut self, retention: Retention) {
+    /// Ends the current interval: decays the sums and adds the outcomes of the interval.
+    pub(crate) fn end_interval(&mut self, decay: DecayFactors) {
         self.failure_sent_at = self.interval_failure_sent_at.take();
         let mut ended = OutcomeSums::default();
         for (_, observation) in std::mem::take(&mut self.interval) {
             ended.count(observation);
         }
-        self.recent = self.recent.scaled(retention.recent).plus(ended);
-        self.own = self.own.scaled(retention.own).plus(ended);
+        self.short_term = self.short_term.scaled(decay.short_term).plus(ended);
+        self.long_term = self.long_term.scaled(decay.long_term).plus(ended);
     }
 }
--- a/crates/zone-failover/src/settings.rs
+++ b/crates/zone-failover/src/settings.rs
@@ -1,30 +1,30 @@
-//! What operators may set: section `[zones]` of their file.
+//! Settings of zone failover: section `[zones]` of the operator's file.
 
 use applewall_operator_config::{number, EnabledFlag};
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-/// `[zones]`: leaving a zone that fails as a fleet, and coming back at a pace.
+/// `[zones]`: ejection of a failing zone by the whole fleet, and its return at a limited rate.
 #[derive(Clone, Debug, Deserialize, Validate, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Settings {
-    /// Off: nothing of this section holds.
+    /// Enables zone failover. If off, the other keys of this section have no effect.
     pub enabled: EnabledFlag,
-    /// Share of a zone's outcomes, as the fleet sees them, that are dead or failing before it is left.
+    /// Fraction of a zone's outcomes, as observed by the fleet, that must be dead or failing before the zone is ejected.
     #[garde(range(min = 0.2, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub leave_at: f64,
-    /// Most of all limit servers, as a share, that stand in zones left at one moment. The last zone is never left.
+    /// Maximum fraction of all endpoints that may be in ejected zones at the same time. The last zone is never ejected.
     #[garde(range(min = 0.0, max = 0.9))]
     #[serde(deserialize_with = "number")]
     pub most_out: f64,
-    /// Requests a second that the whole fleet spends on trying a zone that it left.
+    /// Canary requests per second that the whole fleet sends to an ejected zone.
     #[garde(range(min = 0.1, max = 100.0))]
     #[serde(deserialize_with = "number")]
     pub canaries_per_s: f64,
-    /// Part of its traffic that a zone gets back each second once its canaries are answered.
+    /// Share of its usual traffic that a returning zone gains per second once its canary requests succeed.
     #[garde(range(min = 0.005, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub return_per_s: f64,
--- a/crates/zone-failover/src/transition.rs
+++ b/crates/zone-failover/src/transition.rs
@@ -1,4 +1,4 @@
-//! Changes of a zone's phase, with the text of their log lines.
+//! Transitions between the phases of a zone, and their log texts.
 
 use std::fmt;
 
@@ -6,32 +6,32 @@
 
 use crate::observation::OutcomeSums;
 
-/// A change of one zone's phase; its text is the log line's.
+/// A phase transition of one zone. Its `Display` text is a field of the log event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Transition {
-    /// Ejected because the fleet observes that it fails.
+    /// Ejected because the fleet observes that the zone fails.
     Ejected(OutcomeSums),
-    /// Ejected because most of the fleet has ejected it.
-    FollowedEjection(OutcomeSums),
-    /// A return begins.
+    /// Ejected because most of the fleet has ejected the zone.
+    AdoptedEjection(OutcomeSums),
+    /// The zone begins to return.
     Returning(OutcomeSums),
-    /// A return failed.
+    /// The zone failed during its return.
     EjectedAgain {
-        /// Shortest time until the next return.
-        hold: TimeSpan,
-        /// What the fleet observes.
+        /// Minimum time until the next return.
+        ejection_time: TimeSpan,
+        /// Outcomes observed by the fleet.
         observed: OutcomeSums,
     },
-    /// In full use again.
+    /// The return is complete and the zone is in full use.
     Restored,
 }
 
-/// A zone and how its phase changed.
+/// A phase transition together with its zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneTransition {
     /// The zone's name.
     pub zone: String,
-    /// What changed.
+    /// The transition of its phase.
     pub transition: Transition,
 }
 
@@ -41,19 +41,22 @@
             Transition::Ejected(observed) => {
                 write!(formatter, "left, the fleet sees {}", Percentages(observed))
             }
-            Transition::FollowedEjection(observed) => {
+            Transition::AdoptedEjection(observed) => {
                 let observed = Percentages(observed);
                 write!(formatter, "left, as the fleet has; it sees {observed}")
             }
             Transition::Returning(observed) => {
                 write!(formatter, "comes back, {}", Percentages(observed))
             }
-            Transition::EjectedAgain { hold, observed } => {
+            Transition::EjectedAgain {
+                ejection_time,
+                observed,
+            } => {
                 let observed = Percentages(observed);
                 write!(
                     formatter,
                     "fails again, left for {:.0} s at the least: {observed}",
-                    hold.as_seconds()
+                    ejection_time.as_seconds()
                 )
             }
             Transition::Restored => formatter.write_str("in full use again"),
@@ -61,7 +64,7 @@
     }
 }
 
-/// Sums as percentages of all outcomes.
+/// Formats the sums as percentages of all outcomes.
 struct Percentages<'a>(&'a OutcomeSums);
 
 impl fmt::Display for Percentages<'_> {
--- a/crates/zone-failover/src/zone_state.rs
+++ b/crates/zone-failover/src/zone_state.rs
@@ -1,4 +1,4 @@
-//! How one node uses a zone, and since when.
+//! The state of one zone on one node: its phase, and the timing of ejections and returns.
 
 #[cfg(test)]
 mod tests;
@@ -7,64 +7,61 @@
 
 use crate::observation::OutcomeSums;
 
-/// Shortest time for which a zone stays ejected: a second, in which its canaries are observed at all nodes. It doubles with
-/// each return that fails, up to [`MAX_HOLD`].
-const MIN_HOLD: TimeSpan = TimeSpan::from_seconds(1.0);
-/// Longest time for which a zone stays ejected whatever its canaries do: a minute without a recovered zone is the price of
-/// a zone that failed again and again.
-const MAX_HOLD: TimeSpan = TimeSpan::from_seconds(60.0);
-/// Time in full use after which the hold time is [`MIN_HOLD`] again: as long as the longest hold.
-const HOLD_RESET_PERIOD: TimeSpan = TimeSpan::from_seconds(60.0);
+/// Minimum ejection time before any failed return: one second, within which all nodes observe the zone's canary traffic.
+/// Doubles with each failed return, up to [`MAX_EJECTION_TIME`].
+const BASE_EJECTION_TIME: TimeSpan = TimeSpan::from_seconds(1.0);
+/// Upper bound of the ejection time. After repeated failed returns, a recovered zone may stay unused for up to a minute.
+const MAX_EJECTION_TIME: TimeSpan = TimeSpan::from_seconds(60.0);
+/// Time in full use after which the ejection time is reset to [`BASE_EJECTION_TIME`]. As long as [`MAX_EJECTION_TIME`].
+const EJECTION_TIME_RESET_PERIOD: TimeSpan = TimeSpan::from_seconds(60.0);
 
-/// How one node uses a zone.
+/// How a node currently uses a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZonePhase {
-    /// In full use.
+    /// Receives all of its usual traffic.
     InUse,
-    /// It gets canary requests only.
+    /// Receives canary traffic only.
     Ejected,
-    /// Returning, with a growing share of its usual traffic.
+    /// Receives a growing share of its usual traffic after an ejection.
     Returning,
 }
 
-/// The time in which the fleet observes that a zone fails.
+/// The period during which the fleet observes a zone failing.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FailurePeriod {
-    /// The first evaluation that showed the failure.
+    /// When the failure began: the first evaluation that showed it, or the send time of an earlier failed attempt.
     pub(crate) began_at: Timestamp,
-    /// The last one.
+    /// The latest evaluation that showed it.
     pub(crate) last_shown_at: Timestamp,
 }
 
-/// The state of one zone at this node.
+/// The state of one zone on this node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ZoneState {
-    /// How it is used.
     pub(crate) phase: ZonePhase,
-    /// Share of its usual traffic that it gets, without canaries.
+    /// Share of its usual traffic that the zone receives, canary traffic excluded.
     pub(crate) traffic_share: f64,
-    /// When the phase began.
-    since: Timestamp,
-    /// Shortest time for which it stays ejected.
-    hold: TimeSpan,
-    /// Consecutive evaluations that found it failing.
+    phase_began_at: Timestamp,
+    /// Minimum time for which the zone stays ejected.
+    ejection_time: TimeSpan,
+    /// Number of consecutive evaluations that found the zone failing.
     pub(crate) failing_evaluations: u32,
-    /// This node's own attempts show that another zone is healthy while this one fails.
+    /// Whether this node's own attempts show that another zone is healthy while this one fails.
     pub(crate) has_own_alternative: bool,
-    /// The present failure of the zone, as the fleet observes it.
+    /// The ongoing failure of the zone as observed by the fleet, if any.
     pub(crate) failure: Option<FailurePeriod>,
-    /// Outcomes since the phase began, weighted by time.
+    /// The fleet's outcomes since the phase began, each weighted by the time for which it was counted.
     pub(crate) canary_outcomes: OutcomeSums,
 }
 
 impl ZoneState {
-    /// In full use.
+    /// A zone in full use.
     pub(crate) fn new(now: Timestamp) -> Self {
         ZoneState {
             phase: ZonePhase::InUse,
             traffic_share: 1.0,
-            since: now,
-            hold: MIN_HOLD,
+            phase_began_at: now,
+            ejection_time: BASE_EJECTION_TIME,
             failing_evaluations: 0,
             has_own_alternative: false,
             failure: None,
@@ -72,53 +69,52 @@
         }
     }
 
-    /// True in full use.
     pub(crate) fn is_in_use(&self) -> bool {
         self.phase == ZonePhase::InUse
     }
 
-    /// Time since the phase began.
+    /// Time spent in the current phase.
     pub(crate) fn phase_duration(&self, now: Timestamp) -> TimeSpan {
-        now - self.since
+        now - self.phase_began_at
     }
 
-    /// Shortest time for which the zone stays ejected.
-    pub(crate) fn hold(&self) -> TimeSpan {
-        self.hold
+    /// Minimum time for which the zone stays ejected.
+    pub(crate) fn ejection_time(&self) -> TimeSpan {
+        self.ejection_time
     }
 
-    /// Ejects the zone: it gets canaries.
+    /// Ejects the zone, which then receives canary traffic only.
     pub(crate) fn eject(&mut self, now: Timestamp) {
         self.enter(now, ZonePhase::Ejected, 0.0);
     }
 
-    /// Ejects the zone because its return failed: it stays ejected for longer than before.
+    /// Ejects the zone after a failed return, with twice the ejection time.
     pub(crate) fn eject_again(&mut self, now: Timestamp) {
-        self.hold = (self.hold * 2.0).min(MAX_HOLD);
+        self.ejection_time = (self.ejection_time * 2.0).min(MAX_EJECTION_TIME);
         self.eject(now);
     }
 
-    /// Begins to return with this share of the zone's usual traffic.
+    /// Begins the return with this share of the zone's usual traffic.
     pub(crate) fn begin_return(&mut self, now: Timestamp, traffic_share: f64) {
         self.enter(now, ZonePhase::Returning, traffic_share);
     }
 
-    /// Ends the return: the zone is in full use.
+    /// Completes the return and puts the zone in full use.
     pub(crate) fn restore(&mut self, now: Timestamp) {
         self.enter(now, ZonePhase::InUse, 1.0);
     }
 
-    /// Forgets earlier failures once the zone has been in full use for long enough.
-    pub(crate) fn reset_hold_if_stable(&mut self, now: Timestamp) {
-        if self.phase_duration(now) > HOLD_RESET_PERIOD {
-            self.hold = MIN_HOLD;
+    /// Resets the ejection time once the zone has been in full use for long enough.
+    pub(crate) fn reset_ejection_time_if_stable(&mut self, now: Timestamp) {
+        if self.phase_duration(now) > EJECTION_TIME_RESET_PERIOD {
+            self.ejection_time = BASE_EJECTION_TIME;
         }
     }
 
     fn enter(&mut self, now: Timestamp, phase: ZonePhase, traffic_share: f64) {
         self.phase = phase;
         self.traffic_share = traffic_share;
-        self.since = now;
+        self.phase_began_at = now;
         self.canary_outcomes = OutcomeSums::default();
     }
 }
--- a/crates/zone-failover/tests/fleets.rs
+++ b/crates/zone-failover/tests/fleets.rs
@@ -1,17 +1,17 @@
-//! Fleets in virtual time: zones that fail in several ways, lossy messages, and nodes that are stopped, restarted or send
-//! wrong messages.
+//! Simulated fleets in virtual time, with failing zones, lost and delayed messages, and nodes that are suspended, restarted
+//! or send incorrect messages.
 
 mod support;
 
 use applewall_zone_failover::{Transition, ZoneId, ZoneMessage, ZonePhase};
 use support::{Behavior, Behaviors, Fleet, Route, ZONES};
 
-/// Seeds of most tests.
+/// Number of seeds in most tests.
 const SEEDS: u64 = 5;
-/// Nodes of most tests.
+/// Fleet size in most tests.
 const SIZE: usize = 24;
 
-/// Zone 0 behaves like this, and the others serve.
+/// Endpoints of zone 0 show this behavior, and all others serve.
 fn zone_0(behavior: Behavior) -> impl Fn(Route) -> Behavior {
     move |route| {
         if route.zone == 0 {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Routes for which this holds are silent, and the others serve.
+/// Requests on matching routes get no response, and all others are served.
 fn silent_where(is_silent: impl Fn(Route) -> bool) -> impl Fn(Route) -> Behavior {
     move |route| {
         if is_silent(route) {
@@ -33,21 +33,21 @@
     }
 }
 
-/// Checks that no transition was made.
+/// Checks that no zone changed its phase on any node.
 #[track_caller]
 fn assert_no_transition(fleet: &Fleet, context: &str) {
     let transitions = &fleet.transitions;
     assert!(transitions.is_empty(), "{context}: {transitions:?}");
 }
 
-/// Checks that zone 0 is the only one that any node ejected.
+/// Checks that no node has ejected a zone other than zone 0.
 #[track_caller]
 fn assert_others_are_not_ejected(fleet: &Fleet, context: &str) {
     let ejected = (fleet.ejected(1), fleet.ejected(2));
     assert_eq!(ejected, (0, 0), "{context}: ejections of the other zones");
 }
 
-/// Checks that all nodes use a zone in full.
+/// Checks that zone 0 is in full use on all nodes.
 #[track_caller]
 fn assert_all_use_zone_0(fleet: &Fleet, context: &str) {
     let phases: Vec<ZonePhase> = fleet
@@ -59,7 +59,7 @@
     assert!(all_in_use, "{context}: {phases:?}");
 }
 
-/// A failing zone is ejected by most nodes within 2 s of the first outcome, and by nearly all 4 s later.
+/// Checks that most nodes eject a failing zone within 2 s of the first bad outcome, and nearly all nodes 4 s later.
 fn assert_zone_is_ejected(size: usize, behavior: Behavior, first_outcome_after: f64, seed: u64) {
     let context = format!("{size} nodes, {behavior:?}, seed {seed}");
     let mut fleet = Fleet::serving(size, seed);
@@ -67,7 +67,7 @@
     assert_eq!(fleet.messages, 0, "{context}: messages without a failure");
     fleet.run(first_outcome_after + 2.0, &zone_0(behavior));
     let ejected = fleet.ejected(0);
-    // At 300 each node observes the zone once in three seconds, and receives messages of ten peers a second.
+    // With 300 nodes, each node observes the zone once in three seconds and receives messages from ten peers per second.
     let min_in_ten = if size < 300 { 7 } else { 4 };
     assert!(
         ejected * 10 >= size * min_in_ten,
@@ -81,7 +81,7 @@
     );
     assert_others_are_not_ejected(&fleet, &context);
     let requests = fleet.requests[fleet.requests.len() - 3][0];
-    // Each node computes its canaries from its own traffic, which is little at 300.
+    // Each node computes its canary share from its own traffic, which is a small sample with 300 nodes.
     let max_requests = if size < 300 { 16 } else { 40 };
     assert!(
         requests <= max_requests,
@@ -120,7 +120,7 @@
             let all: u32 = fleet.requests[second].iter().sum();
             f64::from(fleet.requests[second][0]) / f64::from(all)
         };
-        // 5 in 100 of its third a second.
+        // The zone regains 5 % of its usual traffic, a third of all requests, per second.
         for second in 10..20 {
             let max = (0.05 * (second as f64 - 9.0) + 0.1) / 3.0 + 0.08;
             let fraction = fraction(second);
@@ -139,14 +139,14 @@
 fn no_zone_is_ejected_without_a_failure_or_for_overload_one_endpoint_or_one_isolated_node() {
     let cases: [(&str, Behaviors<'_>); 4] = [
         ("no failure", &|_| Behavior::Serves),
-        // Admission control handles that.
+        // Overload of all zones is left to admission control.
         ("all zones are late", &|_| Behavior::Slow),
         (
             "one of seven endpoints is silent",
             &silent_where(|route| (route.zone, route.endpoint) == (0, 3)),
         ),
         (
-            "one node is cut off from all zones, another from one",
+            "one node is isolated from all zones, another from one",
             &silent_where(|route| route.node == 5 || (route.node, route.zone) == (6, 1)),
         ),
     ];
@@ -228,19 +228,19 @@
 
 #[test]
 fn stopped_or_restarted_node_adopts_the_fleets_decision() {
-    // Given a node that is stopped, and one that restarts, while a zone is ejected.
+    // Given a node that is suspended and one that restarts while a zone is ejected.
     let mut fleet = Fleet::serving(SIZE, 11);
-    fleet.stopped_until[3] = 12.0;
+    fleet.suspended_until[3] = 12.0;
     fleet.run(5.0, &zone_0(Behavior::Silent));
     fleet.restart(4);
     fleet.run(7.0, &zone_0(Behavior::Silent));
     assert_eq!(
         fleet.ejected(0),
         SIZE,
-        "nodes that ejected it, with the stopped and the restarted one"
+        "nodes that ejected it, including the suspended and the restarted one"
     );
-    // When the node is stopped with the zone ejected, and resumes when all others use it.
-    fleet.stopped_until[3] = 80.0;
+    // When the node is suspended with the zone ejected, and resumes after all others use the zone again.
+    fleet.suspended_until[3] = 80.0;
     fleet.run(64.0, &zone_0(Behavior::Serves));
     let mut others = fleet
         .nodes
@@ -249,11 +249,11 @@
         .filter(|(node, _)| *node != 3);
     assert!(
         others.all(|(_, node)| node.phase(ZoneId(0)) == ZonePhase::InUse),
-        "the others use it while the node is stopped"
+        "the others use it while the node is suspended"
     );
     let transitions = fleet.transitions.len();
     fleet.run(40.0, &zone_0(Behavior::Serves));
-    // Then its outdated decision changes none of the others.
+    // Then its outdated state does not affect the other nodes.
     assert_all_use_zone_0(&fleet, "after the node has resumed");
     let later = &fleet.transitions[transitions..];
     assert!(later.iter().all(|logged| logged.node == 3), "{later:?}");
@@ -266,7 +266,7 @@
         for sequence in 1..200u32 {
             let text = format!("Z1 77 {sequence} 0:0:0:90000000:0 9:1:1:1:0");
             let message = ZoneMessage::decode(&text).expect("well-formed");
-            // Once, and once more.
+            // Each message is delivered twice.
             for _ in 0..2 {
                 for node in 0..fleet.nodes.len() {
                     fleet.receive(node, 23, message.clone());
@@ -314,7 +314,7 @@
     }
 }
 
-/// A simulation in which a node changed its use of a zone.
+/// A simulation in which at least one zone changed its phase on a node.
 #[derive(Debug, PartialEq)]
 struct SimulationWithTransitions {
     size: usize,
@@ -322,9 +322,9 @@
     transitions: usize,
 }
 
-/// Fleet sizes, each with the seeds that it is simulated with: by default so many that the plays take a few seconds;
-/// `ZONE_SEEDS` sets another number for every size.
-const ALL_FAIL_PLAYS: [(usize, u64); 6] = [
+/// Fleet sizes, each with its default number of seeds, chosen so that the simulations take a few seconds. The environment
+/// variable `ZONE_SEEDS` overrides the number for all sizes.
+const FLEET_SIZES_AND_SEEDS: [(usize, u64); 6] = [
     (3, 300),
     (12, 300),
     (SIZE, 300),
@@ -333,8 +333,8 @@
     (300, 10),
 ];
 
-/// Simulations of fleets of all sizes in which all zones begin to behave like this at once, and a node changed its use of
-/// a zone. `prepare` changes a fleet before its zones fail.
+/// Simulates fleets of all sizes in which all zones switch to this behavior at once. Returns the simulations in which a zone
+/// changed its phase. `prepare` modifies a fleet before its zones fail.
 fn simulations_with_transitions(
     behavior: Behavior,
     prepare: impl Fn(&mut Fleet),
@@ -352,7 +352,7 @@
             transitions: fleet.transitions.len(),
         }
     };
-    ALL_FAIL_PLAYS
+    FLEET_SIZES_AND_SEEDS
         .into_iter()
         .flat_map(|(size, seeds)| (0..all_seeds.unwrap_or(seeds)).map(move |seed| (size, seed)))
         .map(|(size, seed)| simulate(size, seed))
@@ -360,13 +360,13 @@
         .collect()
 }
 
-/// Guards against outcomes of before a failure of all zones that pass for a healthy alternative.
+/// Guards against good outcomes from before a failure of all zones that make a zone look like a healthy alternative.
 #[test]
 fn no_zone_is_left_when_all_zones_begin_to_be_late_at_once() {
     assert_eq!(simulations_with_transitions(Behavior::Slow, |_| ()), []);
 }
 
-/// Guards against outcomes of before a failure of all zones that pass for a healthy alternative.
+/// Guards against the same with zones that respond with failures or not at all.
 #[test]
 fn no_zone_is_left_when_all_zones_begin_to_fail_or_fall_silent_at_once() {
     let silent = simulations_with_transitions(Behavior::Silent, |_| ());
@@ -374,17 +374,17 @@
     assert_eq!((silent, failing), (vec![], vec![]));
 }
 
-/// Guards against the same where messages are lost or late, so that evidence is old when it arrives.
+/// Guards against the same when messages are lost or late, so that reports are outdated when they arrive.
 #[test]
 fn no_zone_is_left_when_all_zones_begin_to_fail_and_messages_are_lost_or_late() {
     let make_lossy = |fleet: &mut Fleet| (fleet.loss, fleet.max_delay) = (0.3, 1.0);
     for behavior in [Behavior::Slow, Behavior::Silent, Behavior::Fails] {
-        let left = simulations_with_transitions(behavior, make_lossy);
-        assert_eq!(left, [], "{behavior:?}");
+        let simulations = simulations_with_transitions(behavior, make_lossy);
+        assert_eq!(simulations, [], "{behavior:?}");
     }
 }
 
-/// Guards against a returning zone that is left again because all zones fail.
+/// Guards against ejecting a returning zone again because all zones fail.
 #[test]
 fn returning_zone_is_not_left_again_when_all_zones_begin_to_fail_at_once() {
     for size in [3, SIZE, 100] {
@@ -396,14 +396,14 @@
                 let transitions = fleet.transitions.len();
                 fleet.run(4.0, &|_| behavior);
                 let later = &fleet.transitions[transitions..];
-                let left_again = later.iter().filter(|logged| {
+                let ejections = later.iter().filter(|logged| {
                     !matches!(
                         logged.change.transition,
                         Transition::Returning(_) | Transition::Restored
                     )
                 });
                 assert_eq!(
-                    left_again.count(),
+                    ejections.count(),
                     0,
                     "{size} nodes, {behavior:?}, seed {seed}: {later:?}"
                 );
@@ -413,13 +413,13 @@
 }
 
 // Listed in KNOWN-RED.txt by this name.
-/// Guards against single bad outcomes that date the failure of all zones before it began.
+/// Guards against sporadic bad outcomes that put the beginning of a failure of all zones before its actual beginning.
 #[test]
 fn no_zone_is_left_when_all_zones_begin_to_fail_and_one_request_in_a_hundred_failed_before() {
     let requests = std::cell::Cell::new(0u64);
     let one_in_a_hundred = |_: Route| {
         requests.set(requests.get() + 1);
-        // Spread over routes: consecutive requests are of random nodes.
+        // Spread over routes, since consecutive requests come from random nodes.
         if requests.get().is_multiple_of(100) {
             Behavior::Fails
         } else {
@@ -427,7 +427,11 @@
         }
     };
     let make_noisy = |fleet: &mut Fleet| fleet.run(3.0, &one_in_a_hundred);
-    let left = [Behavior::Slow, Behavior::Silent, Behavior::Fails]
+    let simulations = [Behavior::Slow, Behavior::Silent, Behavior::Fails]
         .map(|behavior| simulations_with_transitions(behavior, make_noisy));
-    assert_eq!(left, [vec![], vec![], vec![]], "late, silent, failing");
+    assert_eq!(
+        simulations,
+        [vec![], vec![], vec![]],
+        "late, silent, failing"
+    );
 }
--- a/crates/zone-failover/tests/support/mod.rs
+++ b/crates/zone-failover/tests/support/mod.rs
@@ -9,35 +9,35 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Virtual time between two steps, s.
+/// Time step of the simulation, s.
 const STEP: f64 = 0.01;
-/// Steps in an interval of the core.
+/// Steps per evaluation interval of the core.
 const STEPS_PER_INTERVAL: u64 = 10;
-/// Zones of the simulated fleet.
+/// Number of zones.
 pub(crate) const ZONES: usize = 3;
-/// Endpoints in each zone.
+/// Number of endpoints in each zone.
 const ENDPOINTS: u32 = 7;
-/// Requests per second of all nodes, so that a fleet of any size observes each endpoint about as often.
+/// Requests per second of the whole fleet, so that fleets of different sizes observe each endpoint about equally often.
 const ALL_REQUESTS_PER_SECOND: f64 = 192.0;
-/// Virtual time in which all zones serve before a test begins, s: longer than the grace period of a node.
+/// Virtual time during which all zones serve before a test begins, s. Longer than a node's grace period.
 const WARM_UP: f64 = 4.0;
-/// Shortest delay of a message, s.
+/// Minimum delay of a message, s.
 const MIN_DELAY: f64 = 0.002;
 
-/// How an endpoint responds to a node at a moment.
+/// How an endpoint responds to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Behavior {
     Serves,
-    /// No response: overdue after half a second.
+    /// Does not respond; overdue after 0.5 s.
     Silent,
-    /// Responds after two seconds; known to be late after 0.8 s.
+    /// Responds after 2 s; known to be late after 0.8 s.
     Slow,
-    /// Responds with a failure at once.
+    /// Responds immediately with a failure.
     Fails,
 }
 
 impl Behavior {
-    /// When the outcome is known after a request was sent, s, and what it is.
+    /// Time from sending a request until its outcome is known, s, and the outcome.
     fn outcome(self) -> (f64, Observation) {
         match self {
             Behavior::Serves => (0.08, Observation::Good),
@@ -48,7 +48,7 @@
     }
 }
 
-/// Where a request goes, and from which node.
+/// The sending node of a request, and its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Route {
     pub(crate) node: usize,
@@ -56,10 +56,10 @@
     pub(crate) endpoint: u32,
 }
 
-/// How the endpoints respond, by the route of the request.
+/// How the endpoints respond, depending on the route of the request.
 pub(crate) type Behaviors<'a> = &'a dyn Fn(Route) -> Behavior;
 
-/// The outcome of a request that is not known yet.
+/// An outcome that the sending node does not know yet.
 struct PendingOutcome {
     route: Route,
     observation: Observation,
@@ -73,7 +73,7 @@
     text: String,
 }
 
-/// A change that a node made.
+/// A phase transition on one node.
 #[derive(Debug)]
 pub(crate) struct LoggedTransition {
     pub(crate) node: usize,
@@ -88,21 +88,21 @@
 pub(crate) struct Fleet {
     pub(crate) now: f64,
     pub(crate) nodes: Vec<ZoneFailover>,
-    /// Until when each node is stopped.
-    pub(crate) stopped_until: Vec<f64>,
+    /// Time until which each node is suspended.
+    pub(crate) suspended_until: Vec<f64>,
     rng: SmallRng,
     /// Requests per second of one node.
     request_rate: f64,
     /// Fraction of messages that are lost.
     pub(crate) loss: f64,
-    /// Bounds the extra delay of a message, s.
+    /// Maximum additional delay of a message, s.
     pub(crate) max_delay: f64,
-    /// By the time in microseconds, and a random number.
+    /// Ordered by time in microseconds, with a random number as tie-breaker.
     outcomes: BTreeMap<(u64, u64), PendingOutcome>,
     datagrams: BTreeMap<(u64, u64), Datagram>,
-    /// Requests into each zone by second.
+    /// Requests to each zone, per second of virtual time.
     pub(crate) requests: Vec<[u32; ZONES]>,
-    /// Messages that were sent.
+    /// Number of messages sent, lost ones included.
     pub(crate) messages: u64,
     pub(crate) transitions: Vec<LoggedTransition>,
 }
@@ -116,7 +116,7 @@
             nodes: (0..size)
                 .map(|node| new_node(size, node, node_seed(node), 0.0))
                 .collect(),
-            stopped_until: vec![0.0; size],
+            suspended_until: vec![0.0; size],
             rng: SmallRng::seed_from_u64(seed),
             request_rate: (ALL_REQUESTS_PER_SECOND / size as f64).max(1.0),
             loss: 0.05,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// A fleet in which all zones have served for longer than the grace period.
+    /// A fleet after the warm-up, in which all zones have served for longer than the grace period.
     pub(crate) fn serving(size: usize, seed: u64) -> Self {
         let mut fleet = Fleet::new(size, seed);
         fleet.run(WARM_UP, &|_| Behavior::Serves);
@@ -143,7 +143,7 @@
         self.nodes[node] = new_node(self.nodes.len(), node, node_seed, self.now);
     }
 
-    /// Simulates so many seconds.
+    /// Simulates this many seconds.
     pub(crate) fn run(&mut self, seconds: f64, behaviors: Behaviors<'_>) {
         let end = self.now + seconds;
         while self.now < end {
@@ -152,8 +152,8 @@
             let seconds = (second + 1).max(self.requests.len());
             self.requests.resize(seconds, [0; ZONES]);
             for node in 0..self.nodes.len() {
-                let is_stopped = self.stopped_until[node] > self.now;
-                if !is_stopped && self.rng.random_bool(self.request_rate * STEP) {
+                let is_suspended = self.suspended_until[node] > self.now;
+                if !is_suspended && self.rng.random_bool(self.request_rate * STEP) {
                     self.send_request(node, behaviors);
                 }
             }
@@ -165,7 +165,7 @@
         }
     }
 
-    /// The key of an event at a time.
+    /// The queue key of an event at this time.
     fn key(&mut self, at: f64) -> (u64, u64) {
         ((at * 1e6) as u64, self.rng.random())
     }
@@ -210,7 +210,7 @@
                 observation,
                 sent_at,
             } = first.remove();
-            if self.stopped_until[route.node] <= now {
+            if self.suspended_until[route.node] <= now {
                 let input = Input::AttemptObserved {
                     zone: ZoneId(route.zone),
                     endpoint: EndpointId(route.endpoint),
@@ -231,14 +231,14 @@
             .filter(|entry| is_due(entry.key()))
         {
             let Datagram { from, to, text } = first.remove();
-            if self.stopped_until[to] <= now {
+            if self.suspended_until[to] <= now {
                 let message = ZoneMessage::decode(&text).expect("well-formed");
                 self.receive(to, from as u32, message);
             }
         }
     }
 
-    /// Gives a message to a node.
+    /// Delivers a message to a node.
     pub(crate) fn receive(&mut self, node: usize, from: u32, message: ZoneMessage) {
         let from = NodeId(from);
         let received = Input::MessageReceived { from, message };
@@ -247,7 +247,7 @@
 
     fn end_interval(&mut self) {
         for node in 0..self.nodes.len() {
-            if self.stopped_until[node] > self.now {
+            if self.suspended_until[node] > self.now {
                 continue;
             }
             let output =
@@ -279,7 +279,7 @@
         self.datagrams.insert(key, Datagram { from, to, text });
     }
 
-    /// How many nodes have ejected a zone.
+    /// Number of nodes that have ejected a zone.
     pub(crate) fn ejected(&self, zone: usize) -> usize {
         self.nodes
             .iter()
@@ -287,7 +287,7 @@
             .count()
     }
 
-    /// Transitions of all nodes but one.
+    /// Number of transitions on all nodes except one.
     pub(crate) fn transitions_without(&self, node: usize) -> usize {
         let of_others = |logged: &&LoggedTransition| logged.node != node;
         self.transitions.iter().filter(of_others).count()
