--- a/crates/node-types/src/lib.rs
+++ b/crates/node-types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Types that are common to the decision policy and the other sans-I/O cores: the id of a node, moments and spans of time, and a message with its receiver.
+//! Types shared by the decision policy and the other sans-I/O cores: node ids, timestamps, time spans and outgoing messages.
 //!
-//! Each core has one entry, `handle(now, Input) -> Output`. `now` is a [`Timestamp`]: the caller chooses the origin and
-//! reads the clock, so that a test can play hours in virtual time.
+//! Each core has a single entry point, `handle(now, Input) -> Output`. `now` is a [`Timestamp`]: the caller reads the clock
+//! and chooses the origin, so that tests can simulate hours in virtual time.
 
 mod time;
 
@@ -14,7 +14,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a node within its fleet, from 0. All nodes of a fleet are configured with the same numbers.
+/// The id of a node within its fleet, counted from 0. All nodes of a fleet are configured with the same ids.
 #[derive(
     Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
@@ -27,7 +27,7 @@
         self.0 as usize
     }
 
-    /// The node that comes `distance` places after this one, counted in a ring of `fleet_size` nodes.
+    /// The node `distance` places after this one in a ring of `fleet_size` nodes.
     #[must_use]
     pub fn successor(self, distance: u32, fleet_size: u32) -> NodeId {
         NodeId((self.0 + distance) % fleet_size)
@@ -40,11 +40,11 @@
     }
 }
 
-/// A message and the peer to send it to.
+/// A message and its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing<M> {
     /// The receiving node.
     pub to: NodeId,
-    /// The message.
+    /// The message to send.
     pub message: M,
 }
--- a/crates/node-types/src/tests.rs
+++ b/crates/node-types/src/tests.rs
@@ -1,4 +1,4 @@
-//! Ids count in a ring, and times are computed like the `f64` that they are.
+//! Node ids wrap around in a ring, and time arithmetic gives exactly the same results as `f64` arithmetic.
 
 use super::*;
 
--- a/crates/node-types/src/time.rs
+++ b/crates/node-types/src/time.rs
@@ -1,7 +1,7 @@
-//! Moments and spans of time in seconds.
+//! Timestamps and time spans in seconds.
 //!
-//! Both are `f64` and not `std::time` types: decisions are computed in `f64`, and a conversion to integer nanoseconds would
-//! change their last digits, and with them recorded results.
+//! Both are based on `f64` instead of the `std::time` types: decisions are computed in `f64`, and rounding to integer
+//! nanoseconds would change the last digits of the results and invalidate recorded ones.
 
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
@@ -9,38 +9,38 @@
 
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// A moment, in seconds since an origin that the caller chooses. The default is the origin.
+/// A point in time, in seconds since an origin that the caller chooses. The default value is the origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Timestamp(f64);
 
-/// A span of time in seconds; negative if it leads backwards.
+/// A span of time in seconds. May be negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TimeSpan(f64);
 
 impl Timestamp {
-    /// Before every moment.
+    /// Earlier than every other timestamp.
     pub const DISTANT_PAST: Timestamp = Timestamp(f64::NEG_INFINITY);
-    /// After every moment.
+    /// Later than every other timestamp.
     pub const DISTANT_FUTURE: Timestamp = Timestamp(f64::INFINITY);
 
-    /// The moment so many nanoseconds after the origin.
+    /// Creates a timestamp from nanoseconds since the origin.
     pub fn from_nanoseconds(nanoseconds: u64) -> Self {
         Timestamp(nanoseconds as f64 / NANOSECONDS_PER_SECOND)
     }
 
-    /// Nanoseconds since the origin; moments before it become zero.
+    /// Nanoseconds since the origin; 0 for timestamps before it.
     pub fn as_nanoseconds(self) -> u64 {
         TimeSpan(self.0).as_nanoseconds()
     }
 
-    /// The number of periods since the origin, with its fraction.
+    /// The number of periods since the origin, as a fraction.
     pub fn in_periods_of(self, period: TimeSpan) -> f64 {
         self.0 / period.0
     }
 
-    /// The moment so many seconds after the origin.
+    /// Creates a timestamp from seconds since the origin.
     pub const fn from_seconds(seconds: f64) -> Self {
         Timestamp(seconds)
     }
@@ -50,13 +50,13 @@
         self.0
     }
 
-    /// The later one of two moments.
+    /// The later of two timestamps.
     #[must_use]
     pub fn max(self, other: Timestamp) -> Timestamp {
         Timestamp(self.0.max(other.0))
     }
 
-    /// The earlier one of two moments.
+    /// The earlier of two timestamps.
     #[must_use]
     pub fn min(self, other: Timestamp) -> Timestamp {
         Timestamp(self.0.min(other.0))
@@ -64,27 +64,27 @@
 }
 
 impl TimeSpan {
-    /// No time.
+    /// The empty span.
     pub const ZERO: TimeSpan = TimeSpan(0.0);
     /// Longer than every other span.
     pub const INFINITE: TimeSpan = TimeSpan(f64::INFINITY);
 
-    /// A span of so many nanoseconds.
+    /// Creates a span from nanoseconds.
     pub fn from_nanoseconds(nanoseconds: u64) -> Self {
         TimeSpan(nanoseconds as f64 / NANOSECONDS_PER_SECOND)
     }
 
-    /// The span in nanoseconds; negative spans become zero.
+    /// The span in nanoseconds; 0 for negative spans.
     pub fn as_nanoseconds(self) -> u64 {
         (self.0.max(0.0) * NANOSECONDS_PER_SECOND) as u64
     }
 
-    /// Fraction of a quantity that is left after this span of exponential decay with a time constant.
+    /// Fraction of a quantity that remains after exponential decay over this span.
     pub fn decay(self, time_constant: TimeSpan) -> f64 {
         (-(self / time_constant)).exp()
     }
 
-    /// A span of so many seconds.
+    /// Creates a span from seconds.
     pub const fn from_seconds(seconds: f64) -> Self {
         TimeSpan(seconds)
     }
@@ -94,25 +94,25 @@
         self.0
     }
 
-    /// The span without its sign.
+    /// The absolute value of the span.
     #[must_use]
     pub fn abs(self) -> TimeSpan {
         TimeSpan(self.0.abs())
     }
 
-    /// The longer one of two spans.
+    /// The longer of two spans.
     #[must_use]
     pub fn max(self, other: TimeSpan) -> TimeSpan {
         TimeSpan(self.0.max(other.0))
     }
 
-    /// The shorter one of two spans.
+    /// The shorter of two spans.
     #[must_use]
     pub fn min(self, other: TimeSpan) -> TimeSpan {
         TimeSpan(self.0.min(other.0))
     }
 
-    /// The span, or the bound that it is beyond.
+    /// Restricts the span to the range from `min` to `max`.
     #[must_use]
     pub fn clamp(self, min: TimeSpan, max: TimeSpan) -> TimeSpan {
         TimeSpan(self.0.clamp(min.0, max.0))
--- a/crates/zone-failover/src/evaluation.rs
+++ b/crates/zone-failover/src/evaluation.rs
@@ -1,4 +1,4 @@
-//! The rules for ejecting zones and returning them to use: updates the state of each zone from this node's view of all zones.
+//! The rules for ejecting zones and returning them to use: each zone's state is updated from this node's views of all zones.
 //!
 //! Free of I/O: reads the views and settings, updates the states, and returns the transitions. Invariants: the last healthy
 //! zone is never ejected, and the endpoints of zones that are not in use never exceed the configured fraction of all
--- a/crates/zone-failover/src/failover/gossip.rs
+++ b/crates/zone-failover/src/failover/gossip.rs
@@ -57,8 +57,8 @@
             .map(|received| &received.message)
     }
 
-    /// Whether enough peers have reported to evaluate zones. In a small fleet, messages are frequent enough to compensate for
-    /// losses; in a large one, the reports are a sample of the fleet.
+    /// Whether enough peers have reported to evaluate zones. In a small fleet, messages are frequent enough to compensate
+    /// for losses; in a large one, the reports are a sample of the fleet.
     pub(super) fn has_quorum(&self, now: Timestamp) -> bool {
         let reporting = self.current_messages(now).count() as u32;
         let has_enough_reports =
