--- a/crates/startup-scheduler/src/cohort.rs
+++ b/crates/startup-scheduler/src/cohort.rs
@@ -1,7 +1,7 @@
-//! The start cohort: the nodes that start together, as one node knows them, disseminated by gossip.
+//! The start cohort: one node's knowledge of the nodes that start together, disseminated by gossip.
 //!
-//! The cohort consists of two sets that only grow during one start, so a message that is lost, late, duplicated or
-//! reordered changes only how soon all nodes know all of it.
+//! The cohort consists of two sets that only grow during one startup. Lost, delayed, duplicated and reordered messages
+//! therefore affect only how fast the cohort becomes known, not the result.
 
 #[cfg(test)]
 mod tests;
@@ -10,11 +10,11 @@
 
 use crate::cohort_message::{CohortMessage, MAX_UNIX_MS, SLICE_BYTES, SLICE_NODES};
 
-/// Distance between the ranks of neighbouring nodes, as a fraction of the fleet's size: the inverse of the golden ratio, by
-/// which runs of consecutive nodes of any length are distributed evenly (Fibonacci hashing).
+/// Distance between the ranks of nodes with consecutive ids, as a fraction of the fleet's size. The inverse of the golden
+/// ratio spreads any run of consecutive ids evenly (Fibonacci hashing).
 const INVERSE_GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
-/// Consecutive messages, for each slice, that name at least as many nodes and no new one, after which the cohort counts as
-/// complete: one alone may come from a peer that knows as little as this node.
+/// Number of consecutive messages per slice that list no new node, and at least as many nodes as are known, after which the
+/// cohort counts as complete. A single one may come from a peer that knows as little as this node.
 const UNCHANGED_MESSAGES_PER_SLICE: u32 = 2;
 
 /// Sizes of the two sets.
@@ -24,7 +24,7 @@
     pub(crate) without_list: u32,
 }
 
-/// What one node knows of the nodes that start together with it; the node itself is not counted.
+/// One node's knowledge of the nodes that start together with it, the node itself excluded.
 #[derive(Clone, Debug)]
 pub(crate) struct StartCohort {
     /// Bitmaps over the fleet, as in [`CohortMessage`].
@@ -32,16 +32,16 @@
     without_list: Vec<u8>,
     fleet_size: u32,
     node: NodeId,
-    /// Consecutive messages that named at least as many nodes as are known here, and no new one.
+    /// Number of consecutive messages that listed no new node, and at least as many nodes as are known here.
     unchanged_messages: u32,
-    /// Number of the slice that was sent last.
+    /// Index of the slice that was sent last.
     last_slice: u32,
-    /// Distance between the ranks of neighbouring nodes in the fleet's order.
+    /// Distance between the ranks of nodes with consecutive ids.
     rank_step: u64,
     counts: CohortCounts,
-    /// Known nodes that come before this one in the fleet's order, by whether they have a list.
-    earlier_with_list: u32,
-    earlier_without_list: u32,
+    /// Numbers of known nodes with a lower rank than this node, by whether they have a list.
+    lower_ranked_with_list: u32,
+    lower_ranked_without_list: u32,
 }
 
 fn greatest_common_divisor(larger: u64, smaller: u64) -> u64 {
@@ -52,12 +52,12 @@
 }
 
 /// Byte and bit mask of a node in a bitmap.
-fn position(node: NodeId) -> (usize, u8) {
+fn bit_position(node: NodeId) -> (usize, u8) {
     (node.index() / 8, 1 << (node.0 % 8))
 }
 
 fn contains(bitmap: &[u8], node: NodeId) -> bool {
-    let (byte, mask) = position(node);
+    let (byte, mask) = bit_position(node);
     bitmap[byte] & mask != 0
 }
 
@@ -66,7 +66,7 @@
     pub(crate) fn new(fleet_size: u32, node: NodeId) -> Self {
         let bitmap = vec![0; (fleet_size as usize).div_ceil(8)];
         let ranks = u64::from(fleet_size.max(1));
-        // With a step that is coprime to the number of ranks, no two nodes have the same rank.
+        // A step that is coprime to the number of ranks gives each node a different rank.
         let rank_step = ((ranks as f64 * INVERSE_GOLDEN_RATIO) as u64..)
             .find(|step| greatest_common_divisor(*step, ranks) == 1)
             .unwrap_or(1);
@@ -79,8 +79,8 @@
             last_slice: 0,
             rank_step,
             counts: CohortCounts::default(),
-            earlier_with_list: 0,
-            earlier_without_list: 0,
+            lower_ranked_with_list: 0,
+            lower_ranked_without_list: 0,
         }
     }
 
@@ -90,21 +90,21 @@
         u64::from(node.0) * self.rank_step % u64::from(self.fleet_size.max(1))
     }
 
-    /// Known nodes without a list, or with one, that come before this node in the fleet's order.
-    pub(crate) fn earlier(&self, without_list: bool) -> u32 {
+    /// Number of known nodes, either without or with a list, that have a lower rank than this node.
+    pub(crate) fn lower_ranked(&self, without_list: bool) -> u32 {
         if without_list {
-            self.earlier_without_list
+            self.lower_ranked_without_list
         } else {
-            self.earlier_with_list
+            self.lower_ranked_with_list
         }
     }
 
-    /// Adds a peer. Returns true if it was not known; for a known one, the first report of whether it has a list stands.
+    /// Adds a peer and returns whether it was new. For a known peer, the first report of whether it has a list is kept.
     pub(crate) fn add(&mut self, peer: NodeId, without_list: bool) -> bool {
         if peer.0 >= self.fleet_size || peer == self.node || contains(&self.started, peer) {
             return false;
         }
-        let (byte, mask) = position(peer);
+        let (byte, mask) = bit_position(peer);
         self.started[byte] |= mask;
         self.counts.started += 1;
         if without_list {
@@ -113,27 +113,28 @@
         }
         if self.fleet_rank(peer) < self.fleet_rank(self.node) {
             if without_list {
-                self.earlier_without_list += 1;
+                self.lower_ranked_without_list += 1;
             } else {
-                self.earlier_with_list += 1;
+                self.lower_ranked_with_list += 1;
             }
         }
         true
     }
 
-    /// Merges a message of a peer.
+    /// Merges a peer's message.
     pub(crate) fn merge(&mut self, message: &CohortMessage) {
-        // A slice beyond the fleet comes from another fleet. To drop it also prevents an overflow of the node ids below.
+        // A slice beyond the fleet's size comes from another fleet. Dropping it also prevents an overflow of the node ids
+        // below.
         if message.first_node >= self.fleet_size {
             return;
         }
-        let (mut any_new, mut named) = (false, 0);
+        let (mut has_new_node, mut listed) = (false, 0);
         let bitmaps = message.started.iter().zip(&message.without_list);
         for (index, (started, without_list)) in bitmaps.enumerate() {
             for bit in (0..8).filter(|bit| started & (1 << bit) != 0) {
                 let peer = NodeId(message.first_node + index as u32 * 8 + bit);
-                named += u32::from(peer != self.node);
-                any_new |= self.add(peer, without_list & (1 << bit) != 0);
+                listed += u32::from(peer != self.node);
+                has_new_node |= self.add(peer, without_list & (1 << bit) != 0);
             }
         }
         let known_in_slice: u32 = self.started[message.first_node as usize / 8..]
@@ -141,22 +142,22 @@
             .take(SLICE_BYTES)
             .map(|byte| byte.count_ones())
             .sum();
-        if any_new {
+        if has_new_node {
             self.unchanged_messages = 0;
-        // A message that names fewer nodes, such as a late one, does not show that all are known.
-        } else if named >= known_in_slice {
+        // A message that lists fewer nodes, such as a delayed one, is no evidence that all nodes are known.
+        } else if listed >= known_in_slice {
             self.unchanged_messages = self.unchanged_messages.saturating_add(1);
         }
     }
 
-    /// True once peers repeat what is known here: the cohort then counts as completely known.
+    /// Whether the cohort counts as completely known, because peers repeat what is known here.
     pub(crate) fn is_complete(&self) -> bool {
-        // For each slice, since a message on one slice shows nothing about another.
+        // Scaled by the number of slices, since a message on one slice is no evidence about another.
         self.unchanged_messages
             >= UNCHANGED_MESSAGES_PER_SLICE * self.fleet_size.div_ceil(SLICE_NODES)
     }
 
-    /// A message on the next slice. `own_start` adds this node itself: whether it started without a list.
+    /// Builds a message on the next slice. `own_start`, if any, adds this node: true if it started without a list.
     pub(crate) fn next_message(
         &mut self,
         own_start: Option<bool>,
@@ -171,7 +172,7 @@
         let mut without_list = self.without_list[first_byte..end_byte].to_vec();
         let is_in_slice = (first_node..first_node + SLICE_NODES).contains(&self.node.0);
         if let Some(own_without_list) = own_start.filter(|_| is_in_slice) {
-            let (byte, mask) = position(self.node);
+            let (byte, mask) = bit_position(self.node);
             started[byte - first_byte] |= mask;
             without_list[byte - first_byte] |= if own_without_list { mask } else { 0 };
         }
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Known peers in ascending order, each with whether it started without a list.
+    /// Known peers in ascending order of their ids, each with whether it started without a list.
     pub(crate) fn peers(&self) -> impl Iterator<Item = (NodeId, bool)> + '_ {
         (0..self.fleet_size)
             .map(NodeId)
@@ -191,7 +192,7 @@
             .map(|peer| (peer, contains(&self.without_list, peer)))
     }
 
-    /// Sizes of the known sets. A field, since each computation of the first call's time reads them.
+    /// Sizes of the two sets. Cached in a field, since each computation of the first call's time reads them.
     pub(crate) fn counts(&self) -> CohortCounts {
         self.counts
     }
--- a/crates/startup-scheduler/src/cohort/tests.rs
+++ b/crates/startup-scheduler/src/cohort/tests.rs
@@ -1,4 +1,4 @@
-//! The start cohort spreads by messages, whatever becomes of them on the way.
+//! Dissemination of the start cohort, with duplicated, reordered, truncated and foreign messages.
 
 use super::*;
 use crate::CohortMessage;
@@ -34,7 +34,7 @@
             assert_eq!(CohortMessage::decode(&text).as_ref(), Ok(&message));
             other.merge(&message);
         }
-        // All but itself; the even ones and the sender have no list.
+        // All nodes but the receiver. Nodes with even ids and the sender have no list.
         let even = (fleet_size - 1) / 2;
         assert_eq!(other.counts(), counts(fleet_size - 1, even + 1));
     }
@@ -58,12 +58,12 @@
     );
     assert!(
         !cohort.is_complete(),
-        "only the last message named as many nodes and no new one"
+        "only the last message listed as many nodes and no new one"
     );
     cohort.merge(&early);
     assert!(
         !cohort.is_complete(),
-        "a message that names fewer nodes does not count"
+        "a message that lists fewer nodes does not count"
     );
     cohort.merge(&late);
     assert!(cohort.is_complete());
@@ -99,7 +99,7 @@
         started: vec![255; bytes],
         without_list: vec![0; bytes],
     };
-    // The last slice of all: node numbers in it would overflow.
+    // The last possible slice: node ids in it would overflow.
     let last_slice = message(u32::MAX / SLICE_NODES * SLICE_NODES, 80);
     cohort.merge(&CohortMessage::decode(&last_slice.encode()).expect("well-formed"));
     assert_eq!(cohort.counts(), counts(0, 0), "no node from an overflow");
--- a/crates/startup-scheduler/src/cohort_message.rs
+++ b/crates/startup-scheduler/src/cohort_message.rs
@@ -1,7 +1,7 @@
-//! The cohort message: which nodes the sender knows to start together, and which of them have no endpoint list.
+//! The cohort message: the nodes that the sender knows to be starting, and those among them that have no endpoint list.
 //!
-//! Format `R1 FIRST LATEST STARTED WITHOUT`: both sets are base64 bitmaps over one slice of the fleet, so that 640 nodes
-//! fit a datagram of 256 bytes.
+//! Format: `R1 FIRST LATEST STARTED WITHOUT`. Both sets are base64-encoded bitmaps over one slice of the fleet, so that 640
+//! nodes fit into a datagram of 256 bytes.
 
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use base64::Engine;
@@ -10,19 +10,19 @@
 
 /// Tag of the format and its version.
 const TAG: &str = "R1";
-/// Nodes that one message covers: two bitmaps of 80 bytes take 214 characters, and 24 are left for the rest.
+/// Number of nodes that one message covers: two bitmaps of 80 bytes take 214 characters, and 24 are left for the rest.
 pub(crate) const SLICE_NODES: u32 = 640;
-/// Bytes of the bitmap of one slice.
+/// Size of the bitmap of one slice in bytes.
 pub(crate) const SLICE_BYTES: usize = SLICE_NODES as usize / 8;
-/// Bounds the time of a start, Unix time in milliseconds: thirteen digits.
+/// Maximum start time, Unix time in milliseconds: thirteen digits.
 pub(crate) const MAX_UNIX_MS: u64 = 9_999_999_999_999;
 
-/// One slice of the start cohort. Bit `i` of byte `n` stands for the node `first_node + 8 * n + i`.
+/// One slice of the start cohort. Bit `i` of byte `n` represents the node `first_node + 8 * n + i`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CohortMessage {
     /// The first node of the slice.
     pub first_node: u32,
-    /// When the last known node of the cohort started, Unix time in milliseconds; 0 where that is not known.
+    /// When the last known node of the cohort started, Unix time in milliseconds; 0 if unknown.
     pub last_start_unix_ms: u64,
     /// Bitmap of the nodes that started recently.
     pub started: Vec<u8>,
@@ -31,12 +31,12 @@
 }
 
 impl CohortMessage {
-    /// True for text that begins like a cohort message of this version.
+    /// Whether the text begins with the tag of this format and version.
     pub fn matches(text: &str) -> bool {
         text.starts_with(TAG)
     }
 
-    /// The text to send.
+    /// Encodes the message.
     pub fn encode(&self) -> String {
         format!(
             "{TAG} {} {} {} {}",
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// What is wrong with the text: truncated, of another format or version, out of range or contradictory.
+    /// If the text is truncated, has another format or version, or has a value that is out of range or contradictory.
     pub fn decode(text: &str) -> Result<Self, DecodeError> {
         let mut fields = FieldReader::new(text, TAG)?;
         let first_node = fields.number("first node", u64::from(u32::MAX))? as u32;
@@ -62,7 +62,7 @@
         let started = decode_bitmap(&mut fields, "started")?;
         let without_list = decode_bitmap(&mut fields, "without list")?;
         fields.finish()?;
-        // A node without a list is one that started.
+        // Nodes without a list must be a subset of the started nodes.
         let mut pairs = started.iter().zip(&without_list);
         let is_subset = pairs.all(|(started, without)| without & !started == 0);
         if started.len() != without_list.len() || !is_subset {
--- a/crates/startup-scheduler/src/event.rs
+++ b/crates/startup-scheduler/src/event.rs
@@ -1,22 +1,22 @@
-//! What goes into the core and what comes out of it.
+//! Inputs and outputs of the core.
 
 use applewall_node_types::{NodeId, Outgoing, TimeSpan, Timestamp};
 
 use crate::Message;
 
-/// The endpoint list that a node has.
+/// The state of a node's endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListState {
-    /// None.
+    /// The node has no list.
     Missing,
-    /// One that an earlier process stored, at this revision; the list service has not confirmed it yet.
+    /// A list that an earlier process stored, with its revision; not yet confirmed by the list service.
     Restored(u64),
-    /// One that the list service sent to this process, at this revision.
+    /// A list that this process received from the list service, with its revision.
     Confirmed(u64),
 }
 
 impl ListState {
-    /// The revision of the list, if there is one.
+    /// The revision of the list, if any.
     pub(crate) fn revision(self) -> Option<u64> {
         match self {
             ListState::Missing => None,
@@ -25,76 +25,76 @@
     }
 }
 
-/// What a node knows when it starts.
+/// Parameters of a node at its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Start {
-    /// The node itself.
+    /// The id of this node.
     pub node: NodeId,
-    /// Nodes in the fleet.
+    /// Number of nodes in the fleet.
     pub fleet_size: u32,
-    /// The list that it starts with.
+    /// State of the node's list at the start.
     pub list: ListState,
-    /// Seed of its random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// When it starts.
+    /// Time of the start.
     pub now: Timestamp,
-    /// Unix time of the origin of all timestamps. Nodes exchange times as Unix times, since their origins differ.
+    /// Unix time of this node's timestamp origin. Nodes exchange Unix times, since their origins differ.
     pub unix_time_of_origin: TimeSpan,
 }
 
-/// A call to the list service that brought no list.
+/// A failed call to the list service.
 #[derive(Clone, Copy, Debug)]
 pub struct CallFailure {
     /// How long the call took.
     pub duration: TimeSpan,
-    /// The service rejected it; otherwise the connection broke or the call timed out.
+    /// Whether the service rejected the call. Otherwise the connection failed or the call timed out.
     pub rejected: bool,
-    /// The wait that the service requested, as in HTTP's `Retry-After`.
+    /// The delay that the service requested, as with HTTP's `Retry-After`.
     pub retry_after: Option<TimeSpan>,
 }
 
-/// An event for the scheduler.
+/// An input of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The node started, or another list service was configured: peers are queried for who else is starting.
+    /// The node started, or another list service was configured. The scheduler queries peers to find starting nodes.
     Started,
-    /// A peer's message arrived.
+    /// A message of a peer arrived.
     MessageReceived {
-        /// The sending node.
+        /// The sender.
         from: NodeId,
-        /// The message.
+        /// The decoded message.
         message: Message,
     },
-    /// Time passed: a cohort message may be due. To be given every few tens of milliseconds while
-    /// [`StartupScheduler::is_gossiping`](crate::StartupScheduler::is_gossiping).
+    /// Timer tick: a cohort message may be due. Expected every few tens of milliseconds while
+    /// [`StartupScheduler::is_gossiping`](crate::StartupScheduler::is_gossiping) returns true.
     GossipTimer,
     /// The list service answered a call.
     CallAnswered {
-        /// Revision of the list that the node has now.
+        /// Revision of the node's list after the answer.
         revision: u64,
-        /// True for a new list, false for a watch that ended without a change.
+        /// True for a new list; false for a watch that ended without a change.
         changed: bool,
     },
-    /// A call brought no list.
+    /// A call to the list service failed.
     CallFailed(CallFailure),
-    /// Another list service was configured, for all nodes at about the same time. [`Input::Started`] follows.
+    /// Another list service was configured, on all nodes at about the same time. [`Input::Started`] must follow.
     ServiceChanged,
 }
 
-/// A message and the peer to send it to.
+/// A startup message and its receiver.
 pub type OutgoingMessage = Outgoing<Message>;
 
-/// What the caller has to do after an input.
+/// Actions for the caller to take after an input.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
     /// Messages to send, in this order.
     pub messages: Vec<OutgoingMessage>,
-    /// When to call the list service next; set after an answered or failed call.
+    /// When to call the list service next. Set after each answered or failed call.
     pub next_call_at: Option<Timestamp>,
 }
 
 impl Output {
-    /// Messages to send, and no call.
+    /// An output with messages only.
     pub(crate) fn messages(messages: Vec<OutgoingMessage>) -> Self {
         Output {
             messages,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A call to make, and no message.
+    /// An output with the time of the next call only.
     pub(crate) fn next_call_at(time: Timestamp) -> Self {
         Output {
             messages: Vec::new(),
@@ -111,13 +111,13 @@
     }
 }
 
-/// Nodes known to start together with this one, itself included.
+/// Summary of the nodes known to start together with this one, including itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CohortSummary {
-    /// How many.
+    /// Number of nodes.
     pub started: u32,
-    /// How many of them started without a list.
+    /// Number of these nodes that started without a list.
     pub without_list: u32,
-    /// True if peers repeat these numbers; otherwise there may be more.
+    /// Whether the cohort counts as completely known; otherwise there may be more nodes.
     pub is_complete: bool,
 }
--- a/crates/startup-scheduler/src/field_reader.rs
+++ b/crates/startup-scheduler/src/field_reader.rs
@@ -1,31 +1,31 @@
-//! The parsing that is common to the formats of all messages between starting nodes.
+//! Parsing shared by the formats of all startup messages.
 
 use std::str::Split;
 
 /// Why a datagram could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Another format, or another version of this one.
-    #[error("not a startup message of a known version")]
+    /// The text has another format, or another version of this one.
+    #[error("not a startup message, or an unsupported version of one")]
     UnknownFormat,
-    /// A field is missing, is not what the format has in its place, or is out of range.
+    /// A field is missing, malformed, or out of range.
     #[error("field `{0}` is missing, malformed or out of range")]
     InvalidField(&'static str),
-    /// More fields than the format has.
-    #[error("data after the last field")]
+    /// The message has more fields than the format defines.
+    #[error("trailing data after the last field")]
     TrailingData,
-    /// Fields that are valid each by itself, and contradict each other.
-    #[error("the sets of nodes contradict each other")]
+    /// The fields are valid individually but contradict each other.
+    #[error("the bitmaps differ in length, or a node without a list is not marked as started")]
     Inconsistent,
 }
 
-/// Reads the fields of a message one after the other.
+/// Reads the space-separated fields of a message in order.
 pub(crate) struct FieldReader<'a> {
     fields: Split<'a, char>,
 }
 
 impl<'a> FieldReader<'a> {
-    /// Starts after the tag.
+    /// Creates a reader of the fields after the tag.
     pub(crate) fn new(text: &'a str, tag: &str) -> Result<Self, DecodeError> {
         let fields = text
             .strip_prefix(tag)
@@ -36,7 +36,7 @@
         })
     }
 
-    /// The next field as it is.
+    /// The next field, unparsed.
     pub(crate) fn text(&mut self, name: &'static str) -> Result<&'a str, DecodeError> {
         self.fields.next().ok_or(DecodeError::InvalidField(name))
     }
@@ -57,7 +57,7 @@
     }
 }
 
-/// A decimal number of digits alone: the standard library would also accept a leading plus sign.
+/// Parses a decimal number. Checks for digits because the standard library also accepts a leading plus sign.
 pub(crate) fn parse_decimal(text: &str) -> Option<u64> {
     if text.bytes().all(|byte| byte.is_ascii_digit()) {
         text.parse().ok()
--- a/crates/startup-scheduler/src/lib.rs
+++ b/crates/startup-scheduler/src/lib.rs
@@ -1,10 +1,10 @@
-//! Startup scheduling: when a node of a fleet that starts together calls the list service.
+//! Startup scheduling: spreads the calls to the list service when many nodes of a fleet start at the same time.
 //!
-//! A [`StartupScheduler`] is the sans-I/O core of one node. Its owner passes the time and an [`Input`] to
-//! [`StartupScheduler::handle`], sends the messages of the returned [`Output`] to peers and calls the list service at
-//! the time in the output or, before the first call, at [`StartupScheduler::first_call_at`]. The core opens no socket and reads no clock: a
-//! [`Timestamp`] counts from an origin of the caller's choice. `docs/cold-start-design.md` lists the bounds that the core
-//! guarantees and the alternatives that were rejected.
+//! A [`StartupScheduler`] is the sans-I/O core of one node. The owner passes the current time and an [`Input`] to
+//! [`StartupScheduler::handle`], sends the messages of the returned [`Output`] to peers, and calls the list service at the
+//! time in the output or, for the first call, at [`StartupScheduler::first_call_at`]. The core does no I/O and reads no
+//! clock: the caller chooses the origin of each [`Timestamp`]. `docs/cold-start-design.md` documents the guaranteed bounds
+//! and the rejected alternatives.
 
 mod cohort;
 mod cohort_message;
--- a/crates/startup-scheduler/src/message.rs
+++ b/crates/startup-scheduler/src/message.rs
@@ -1,27 +1,27 @@
-//! Messages between starting nodes.
+//! Startup messages: the messages between starting nodes.
 //!
-//! Each is one line of ASCII text of at most 256 bytes: a two-byte tag, which names the format and its version, and fields
-//! separated by single spaces. A message of another version has another tag and is not decoded.
+//! Each message is one line of ASCII text of at most 256 bytes: a two-byte tag that identifies the format and its version,
+//! and fields separated by single spaces. Messages of other versions have other tags and are not decoded.
 
 use crate::field_reader::DecodeError;
 use crate::{CohortMessage, StatusMessage};
 
-/// A message of either format.
+/// A startup message of either format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
     /// The sender's own state.
     Status(StatusMessage),
-    /// What the sender knows of the start cohort.
+    /// The sender's knowledge of the start cohort.
     Cohort(CohortMessage),
 }
 
 impl Message {
-    /// True for text that begins like a startup message, whether or not it can be decoded.
+    /// Whether the text begins with the tag of a startup message. Decoding it may still fail.
     pub fn is_startup_message(text: &str) -> bool {
         StatusMessage::matches(text) || CohortMessage::matches(text)
     }
 
-    /// The text to send.
+    /// Encodes the message.
     pub fn encode(&self) -> String {
         match self {
             Message::Status(message) => message.encode(),
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// What is wrong with the text: truncated, of another format or version, or out of range.
+    /// If the text is truncated, has another format or version, or has a value that is out of range or contradictory.
     pub fn decode(text: &str) -> Result<Self, DecodeError> {
         if StatusMessage::matches(text) {
             StatusMessage::decode(text).map(Message::Status)
--- a/crates/startup-scheduler/src/scheduler.rs
+++ b/crates/startup-scheduler/src/scheduler.rs
@@ -1,7 +1,7 @@
-//! The scheduler itself: the state of one node, and how an input changes it.
+//! The scheduler: the state of one node, and how each input updates it.
 //!
-//! Owned by one task or behind one lock. Invariant: no message of a peer changes the node's own list; a message can only
-//! move a call within the bounds of one window of the fleet.
+//! Owned by one task or protected by one lock. Invariant: a peer's message never changes the node's own list; it can only
+//! move a call within the bounds of one fleet window.
 
 mod call_times;
 mod call_window;
@@ -22,11 +22,11 @@
 use crate::event::{CohortSummary, Input, ListState, Output, Start};
 use crate::Settings;
 
-/// Time after a rejected call for which the list service counts as overloaded: long enough for the first status messages
-/// of a start to carry the fact, and short against a window of the fleet.
-const OVERLOAD_MEMORY: TimeSpan = TimeSpan::from_seconds(2.0);
+/// Time after a rejected call during which the list service counts as overloaded. Long enough to be reported in the first
+/// status messages of a startup, and short compared with a fleet window.
+const OVERLOAD_DURATION: TimeSpan = TimeSpan::from_seconds(2.0);
 
-/// A peer that reported its own start recently.
+/// A peer that recently reported its own start.
 #[derive(Clone, Copy, Debug)]
 struct StartingPeer {
     node: NodeId,
@@ -39,21 +39,22 @@
 struct PeerReply {
     node: NodeId,
     started_recently: bool,
-    /// Peers that reported their start to the sender.
+    /// Number of peers that reported their start to the replying node.
     starting_peers: u32,
 }
 
-/// Decides when one node calls the list service. See the [crate documentation](crate).
+/// Schedules one node's calls to the list service. See the [crate documentation](crate).
 #[derive(Clone, Debug)]
 pub struct StartupScheduler {
     calls_per_second: f64,
-    /// Peers that are queried at the start, at most.
+    /// Maximum number of peers that are queried at the start.
     max_queried_peers: u32,
     fleet_size: u32,
     node: NodeId,
     rng: SmallRng,
     started_at: Timestamp,
-    /// When the last node of the cohort started, as far as is known: windows are counted from here, the same for all.
+    /// When the last known node of the cohort started. Windows are counted from this time, which gossip makes the same on
+    /// all nodes.
     cohort_started_at: Timestamp,
     unix_time_of_origin: TimeSpan,
     list: ListState,
@@ -62,17 +63,17 @@
     replies: Vec<PeerReply>,
     cohort: StartCohort,
     last_gossip_at: Option<Timestamp>,
-    /// The newest revision that a peer has from the list service.
+    /// The newest list revision that a peer has received from the list service.
     newest_peer_revision: Option<u64>,
-    /// Calls in a row that failed.
+    /// Number of consecutive failed calls.
     failures: u32,
-    /// When the list service last rejected a call, here or at a peer.
+    /// When the list service last rejected a call of this node or of a peer.
     overloaded_at: Option<Timestamp>,
     reply_budget: ReplyBudget,
 }
 
 impl StartupScheduler {
-    /// A scheduler for a node that starts now.
+    /// Creates the scheduler of a node that starts at `start.now`.
     pub fn new(settings: &Settings, start: Start) -> Self {
         let fleet_size = start.fleet_size.max(1);
         StartupScheduler {
@@ -97,25 +98,27 @@
         }
     }
 
-    /// Processes an input at the time `now`, which never decreases.
+    /// Processes an input. `now` must not decrease between calls.
     pub fn handle(&mut self, now: Timestamp, input: Input) -> Output {
         match input {
             Input::Started => self.query_peers(now),
             Input::MessageReceived { from, message } => self.receive(now, from, &message),
             Input::GossipTimer => self.gossip(now),
             Input::CallAnswered { revision, changed } => {
-                Output::next_call_at(self.after_answer(now, revision, changed))
+                Output::next_call_at(self.next_call_after_answer(now, revision, changed))
+            }
+            Input::CallFailed(failure) => {
+                Output::next_call_at(self.next_call_after_failure(now, failure))
             }
-            Input::CallFailed(failure) => Output::next_call_at(self.after_failure(now, failure)),
             Input::ServiceChanged => {
-                self.restart(now);
+                self.reset_for_new_service(now);
                 Output::default()
             }
         }
     }
 
-    /// Starts again with the list that the node has: another list service is configured.
-    fn restart(&mut self, now: Timestamp) {
+    /// Restarts the schedule for another list service. The node keeps its list, which counts as restored.
+    fn reset_for_new_service(&mut self, now: Timestamp) {
         self.started_at = now;
         self.cohort_started_at = now;
         self.list = match self.list.revision() {
@@ -124,7 +127,7 @@
         };
         self.started_without_list = self.list == ListState::Missing;
         self.last_gossip_at = None;
-        // The new service counts its revisions independently of the old one.
+        // Revisions of the new service are unrelated to those of the old one.
         self.newest_peer_revision = None;
         self.failures = 0;
         self.overloaded_at = None;
@@ -135,10 +138,10 @@
 
     fn is_overloaded(&self, now: Timestamp) -> bool {
         self.overloaded_at
-            .is_some_and(|overloaded_at| now - overloaded_at < OVERLOAD_MEMORY)
+            .is_some_and(|overloaded_at| now - overloaded_at < OVERLOAD_DURATION)
     }
 
-    /// The nodes known to start together.
+    /// The nodes known to be starting together, including this one.
     pub fn cohort_summary(&self) -> CohortSummary {
         let known = self.cohort.counts();
         CohortSummary {
@@ -148,12 +151,12 @@
         }
     }
 
-    /// The list that the node has.
+    /// The state of the node's endpoint list.
     pub fn list(&self) -> ListState {
         self.list
     }
 
-    /// Peers that this node queries at its start: a small fleet has fewer than the setting allows.
+    /// Number of peers that this node queries at its start: the configured number, or all peers of a small fleet.
     fn queried_peers(&self) -> u32 {
         self.max_queried_peers.min(self.fleet_size - 1)
     }
--- a/crates/startup-scheduler/src/scheduler/call_window.rs
+++ b/crates/startup-scheduler/src/scheduler/call_window.rs
@@ -1,23 +1,23 @@
-//! Windows: the spans of time in which each of a set of nodes calls once.
+//! Call windows: time spans in which each node of a set calls the list service once.
 
 use applewall_node_types::{TimeSpan, Timestamp};
 
 use super::slot::Slot;
 use super::StartupScheduler;
 
-/// Time after its start for which a node waits for replies before its first call: twice the delay of the slowest
+/// Time after its start during which a node waits for replies before its first call: twice the delay of the slowest
 /// datagrams.
 pub(super) const REPLY_COLLECTION_PERIOD: TimeSpan = TimeSpan::from_seconds(0.08);
-/// Reply collections that fit into the shortest window that is counted from the cohort's start. In a shorter window, the
-/// first slots would come up while replies are still collected, and all of these nodes would call when that ends.
+/// Minimum length, in reply collection periods, of a window that is counted from the cohort's start. In a shorter window,
+/// many of the first slots would fall into the collection period, and all of these nodes would call when it ends.
 const MIN_SHARED_WINDOW_PERIODS: f64 = 10.0;
-/// Time in which gossip reaches all nodes of the cohort: ten messages of each node.
+/// Time in which gossip reaches all nodes of the cohort: ten messages from each node.
 const COHORT_CONVERGENCE_PERIOD: TimeSpan = TimeSpan::from_seconds(1.0);
-/// Shortest window of the fleet that may begin as late as gossip has converged: to wait for that costs more than it
-/// gains in a shorter one.
+/// Minimum length of the fleet window for which the window begins only after gossip has converged. With a shorter fleet
+/// window, waiting for convergence costs more time than it gains.
 const MIN_FLEET_WINDOW_FOR_CONVERGENCE: TimeSpan = TimeSpan::from_seconds(4.0);
 
-/// The first of a sequence of windows of one length, each of which begins when the one before it ends.
+/// The first of a sequence of consecutive windows of equal length.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallWindow {
     pub(super) begins_at: Timestamp,
@@ -25,7 +25,7 @@
 }
 
 impl CallWindow {
-    /// When the window ends, and the next one begins.
+    /// The end of the window, which is the beginning of the next one.
     pub(super) fn ends_at(self) -> Timestamp {
         self.begins_at + self.length
     }
@@ -35,9 +35,8 @@
         self.begins_at + slot.offset(self.length)
     }
 
-    /// The first time of a slot that is later than `after`, in this window or one that follows. With the slot at `t` in
-    /// the first window, `(after - t) / length`, rounded down, plus one is the number of windows from there to the first
-    /// time later than `after`, and none if `t` itself is later.
+    /// The first time of a slot later than `after`, in this window or a subsequent one. With the slot at `t` in this window,
+    /// the number of windows from there is `floor((after - t) / length) + 1`, or 0 if `t` itself is later than `after`.
     ///
     /// Tests: `call_after_a_failure_is_at_the_next_time_of_the_slot`,
     /// `service_that_recovers_from_silence_is_not_flooded_even_if_it_answers_all_queued_calls_at_once`.
@@ -49,8 +48,8 @@
 }
 
 impl StartupScheduler {
-    /// The window of the nodes that start together. `cohort_size` calls at `calls_per_second` take
-    /// `cohort_size / calls_per_second` seconds.
+    /// The window of the start cohort. Its length is `cohort_size / calls_per_second` seconds, the time that `cohort_size`
+    /// calls take at the configured rate.
     ///
     /// Tests: `fleet_without_lists_calls_within_its_budget_and_finishes_soon`,
     /// `first_calls_of_an_unknown_cohort_take_the_window_of_the_estimated_size`.
@@ -60,20 +59,21 @@
         ))
     }
 
-    /// The window of the fleet, for calls that all nodes make.
+    /// The window of the whole fleet, for calls that all nodes make.
     pub(super) fn fleet_window(&self) -> CallWindow {
         self.first_window(self.fleet_window_length())
     }
 
-    /// Length of the window of the fleet, `fleet_size / calls_per_second` seconds.
+    /// Length of the fleet window: `fleet_size / calls_per_second` seconds.
     pub(super) fn fleet_window_length(&self) -> TimeSpan {
         TimeSpan::from_seconds(f64::from(self.fleet_size) / self.calls_per_second)
     }
 
     /// The first window of this length.
     ///
-    /// Windows are counted from the start of the cohort's last node, the same for all nodes: the steps between slots are
-    /// equal only in windows that begin together. A window that is too short for that begins at this node's own start.
+    /// Windows are counted from the start of the cohort's last node, which is the same for all nodes: slots are evenly
+    /// spaced only if the windows of all nodes begin together. A window that is too short for that begins at this node's own
+    /// start.
     ///
     /// Test: `nodes_that_start_one_after_the_other_use_one_window`.
     fn first_window(&self, length: TimeSpan) -> CallWindow {
@@ -89,7 +89,8 @@
         CallWindow { begins_at, length }
     }
 
-    /// True where a node has to know the cohort for its slot: only some nodes start, or only some of them have a list.
+    /// Whether the slots depend on the members of the cohort: only part of the fleet starts, or only some of the starting
+    /// nodes have a list.
     fn slots_depend_on_cohort(&self) -> bool {
         let known = self.cohort.counts();
         let only_some_start = if self.cohort.is_complete() {
--- a/crates/startup-scheduler/src/scheduler/cohort_size.rs
+++ b/crates/startup-scheduler/src/scheduler/cohort_size.rs
@@ -1,14 +1,15 @@
-//! How many nodes start together: counted once the cohort is completely known, and estimated before.
+//! The number of nodes that start together: counted once the cohort is completely known, and estimated before.
 
 use super::StartupScheduler;
 
-/// Fraction of the queried peers without a reply that count as starting: a silent peer may not be up yet, or its datagram
-/// was lost, and the two can't be distinguished.
+/// Fraction of the queried peers without a reply that count as starting. Either the peer is not up yet or a datagram was
+/// lost, and the two cases cannot be distinguished.
 const SILENT_PEERS_STARTING_FRACTION: f64 = 0.5;
 
 impl StartupScheduler {
-    /// Number of nodes that start together: counted if the cohort is complete, and otherwise the greater of the known
-    /// nodes and the estimate, since a window that is too short overloads the service and one that is too long costs time.
+    /// Number of nodes that start together: the known nodes if the cohort is complete, and otherwise the greater of the
+    /// known nodes and the estimate. A window that is too short overloads the service, while one that is too long only costs
+    /// time.
     ///
     /// Test: `first_calls_of_an_unknown_cohort_take_the_window_of_the_estimated_size`.
     pub(super) fn cohort_size(&self) -> f64 {
@@ -20,9 +21,9 @@
         }
     }
 
-    /// Number of nodes that start together, estimated from the peers that were queried: the greatest of three estimates,
-    /// within 1 and the fleet's size. Without any message all peers are just starting, or all messages are lost; the
-    /// estimate is then the fleet.
+    /// Estimate of the number of nodes that start together: the maximum of three estimates, between 1 and the fleet's size.
+    /// If no message has arrived, either all peers are just starting or all messages were lost, and the estimate is the
+    /// fleet's size.
     ///
     /// Tests: `all_nodes_are_assumed_to_start_when_all_messages_are_lost`,
     /// `seven_in_ten_that_restart_learn_their_number_from_the_running_ones`.
@@ -35,17 +36,17 @@
         if self.replies.is_empty() && self.starting_peers.is_empty() {
             return fleet_size;
         }
-        self.size_by_replies()
-            .max(self.size_by_queries(queried))
-            .max(self.size_by_silence(queried))
+        self.size_from_replies()
+            .max(self.size_from_queries(queried))
+            .max(self.size_from_missing_replies(queried))
             .clamp(1.0, fleet_size)
     }
 
-    /// The repliers are a random sample of the fleet: if a fraction `p` of them started recently, so did `p * fleet_size`
-    /// nodes. The fleet if there is no sample.
+    /// The replying peers are a random sample of the fleet: if a fraction `p` of them started recently, the estimate is
+    /// `p * fleet_size`. Without replies, it is the fleet's size.
     ///
     /// Test: `estimate_grows_with_each_of_its_three_signs`.
-    fn size_by_replies(&self) -> f64 {
+    fn size_from_replies(&self) -> f64 {
         let fleet_size = f64::from(self.fleet_size);
         if self.replies.is_empty() {
             return fleet_size;
@@ -54,13 +55,13 @@
         recent.count() as f64 / self.replies.len() as f64 * fleet_size
     }
 
-    /// Each of `m` starting nodes queries `queried` peers at random, so a node receives `q = m * queried / fleet_size`
-    /// queries on average, and `m = q * fleet_size / queried`. `q` is observed twice, and the greater one counts: by the
-    /// repliers, of whose queries one is this node's own, and by this node, of whose starting peers up to `queried` became
-    /// known by their replies and not by queries.
+    /// Each of `m` starting nodes queries `queried` random peers, so a node receives `q = m * queried / fleet_size` queries
+    /// on average, and `m = q * fleet_size / queried`. `q` is measured in two places, and the greater value counts: on the
+    /// replying peers, where one of the queries is this node's own, and on this node, where up to `queried` of the starting
+    /// peers became known by their replies instead of by queries.
     ///
     /// Test: `estimate_grows_with_each_of_its_three_signs`.
-    fn size_by_queries(&self, queried: f64) -> f64 {
+    fn size_from_queries(&self, queried: f64) -> f64 {
         let replies = self.replies.len().max(1) as f64;
         let queries_at_peers = self
             .replies
@@ -72,11 +73,11 @@
         queries_at_peers.max(queries_here) * f64::from(self.fleet_size) / queried
     }
 
-    /// Peers that do not reply may be starting and not be up yet: with `s` of `queried` peers silent, the estimate is
+    /// Peers that do not reply may be starting and not up yet: if `s` of `queried` peers do not reply, the estimate is
     /// [`SILENT_PEERS_STARTING_FRACTION`] of `s / queried * fleet_size`.
     ///
     /// Test: `estimate_grows_with_each_of_its_three_signs`.
-    fn size_by_silence(&self, queried: f64) -> f64 {
+    fn size_from_missing_replies(&self, queried: f64) -> f64 {
         let silent = (queried - self.replies.len() as f64).max(0.0);
         silent * SILENT_PEERS_STARTING_FRACTION / queried * f64::from(self.fleet_size)
     }
--- a/crates/startup-scheduler/src/scheduler/gossip.rs
+++ b/crates/startup-scheduler/src/scheduler/gossip.rs
@@ -1,33 +1,33 @@
-//! Messages between starting nodes: status queries, their replies, and the cohort.
+//! Messages between starting nodes: status queries, replies, and gossip of the cohort.
 
 use applewall_node_types::{NodeId, TimeSpan, Timestamp};
 use rand::Rng;
 
-use super::{PeerReply, StartingPeer, StartupScheduler, OVERLOAD_MEMORY};
+use super::{PeerReply, StartingPeer, StartupScheduler, OVERLOAD_DURATION};
 use crate::cohort::StartCohort;
 use crate::event::{ListState, OutgoingMessage, Output};
 use crate::{CohortMessage, Message, StatusMessage};
 
-/// Time after its start for which a peer counts as starting: as long as it sends cohort messages.
+/// Time after its start during which a peer counts as starting: as long as it sends cohort messages.
 const RECENT_START: TimeSpan = TimeSpan::from_seconds(2.0);
-/// Time from its own start for which a node sends cohort messages: twice what gossip needs to reach the cohort.
+/// Time after its own start during which a node sends cohort messages: twice the time that gossip needs to converge.
 const GOSSIP_PERIOD: TimeSpan = TimeSpan::from_seconds(2.0);
-/// Time from its own start for which a node accepts cohort messages: a later message belongs to another start, and would
-/// make this node's window longer than needed.
+/// Time after its own start during which a node accepts cohort messages. A later message belongs to another startup and
+/// would make this node's window longer than needed.
 const GOSSIP_ACCEPT_PERIOD: TimeSpan = TimeSpan::from_seconds(4.0);
-/// Time between two cohort messages of a node: ten of the 40 datagrams a second that each node accepts.
+/// Interval between two cohort messages of a node: ten per second, out of the 40 datagrams per second that a node accepts.
 const GOSSIP_INTERVAL: TimeSpan = TimeSpan::from_seconds(0.1);
-/// Tenths of a second, in which a status message has the sender's age.
+/// Status messages contain the sender's age in tenths of a second.
 const DECISECONDS_PER_SECOND: f64 = 10.0;
-/// Milliseconds, in which a cohort message has the time of the last start.
+/// Cohort messages contain the time of the last start in milliseconds.
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
 impl StartupScheduler {
-    /// Queries as many random peers as are configured for who else is starting.
+    /// Sends a status query to the configured number of random peers, to find out which nodes are starting.
     pub(super) fn query_peers(&mut self, now: Timestamp) -> Output {
         let mut peers: Vec<NodeId> = Vec::new();
         while (peers.len() as u32) < self.queried_peers() {
-            let peer = self.draw_peer();
+            let peer = self.random_peer();
             if !peers.contains(&peer) {
                 peers.push(peer);
             }
@@ -40,8 +40,8 @@
         Output::messages(peers.into_iter().map(to_peer).collect())
     }
 
-    /// A random node other than this one; the fleet has at least two.
-    fn draw_peer(&mut self) -> NodeId {
+    /// A random node other than this one. The fleet must have at least two nodes.
+    fn random_peer(&mut self) -> NodeId {
         let distance = 1 + self.rng.random_range(0..self.fleet_size - 1);
         self.node.successor(distance, self.fleet_size)
     }
@@ -65,7 +65,7 @@
             .filter(move |peer| now - peer.received_at < RECENT_START)
     }
 
-    /// Processes a message of a peer; one that claims to come from this node, or from beyond the fleet, changes nothing.
+    /// Processes a peer's message. Ignores messages whose sender is this node or is outside the fleet.
     pub(super) fn receive(&mut self, now: Timestamp, from: NodeId, message: &Message) -> Output {
         if from.0 >= self.fleet_size || from == self.node {
             return Output::default();
@@ -80,13 +80,14 @@
     }
 
     fn receive_status(&mut self, now: Timestamp, from: NodeId, status: &StatusMessage) -> Output {
-        // A peer's revision is compared and never adopted, so that a wrong message can only move a call within the window.
+        // A peer's revision is only compared, never adopted, so that an incorrect message can only move a call within the
+        // window.
         if status.confirmed {
             self.newest_peer_revision = self.newest_peer_revision.max(status.revision);
         }
         if status.overloaded {
-            // Half of the memory: the peer itself may repeat a rejection that is almost as old.
-            let reported_at = now - OVERLOAD_MEMORY / 2.0;
+            // Half of the time span, because the rejection that the peer reports may itself be almost that old.
+            let reported_at = now - OVERLOAD_DURATION / 2.0;
             let latest = self
                 .overloaded_at
                 .map_or(reported_at, |known| known.max(reported_at));
@@ -122,7 +123,7 @@
             received_at: now,
             has_list: status.revision.is_some(),
         });
-        // The status of a peer with a confirmed list does not show whether it started with one.
+        // A peer with a confirmed list does not report whether it started with one.
         if now - self.started_at < GOSSIP_ACCEPT_PERIOD && !status.confirmed {
             self.cohort.add(from, status.revision.is_none());
         }
@@ -140,8 +141,8 @@
             return;
         }
         self.cohort.merge(message);
-        // Unix time, since the delay of each hop would add to an age. A sender whose clock differs by more than the length
-        // of a start is ignored.
+        // The message contains a Unix time, because an age would grow by the delay of each hop. Times from senders whose
+        // clocks differ by more than the gossip period are ignored.
         let last_start_unix = message.last_start_unix_ms as f64 / MILLIS_PER_SECOND;
         let last_start =
             Timestamp::from_seconds(last_start_unix - self.unix_time_of_origin.as_seconds());
@@ -150,8 +151,8 @@
         }
     }
 
-    /// A message on the cohort: on the one of this node's own start while that lasts, and otherwise on the peers that
-    /// reported their start recently.
+    /// The next cohort message: about this node's own cohort while the node gossips, and otherwise about the peers that
+    /// recently reported their start.
     fn cohort_message(&mut self, now: Timestamp) -> CohortMessage {
         if self.is_gossiping(now) {
             let last_start_unix = self.cohort_started_at + self.unix_time_of_origin;
@@ -168,7 +169,7 @@
         cohort.next_message(None, 0)
     }
 
-    /// The next cohort message, if it is due; none after the node's start.
+    /// Sends the next cohort message if one is due. None are sent after the gossip period.
     pub(super) fn gossip(&mut self, now: Timestamp) -> Output {
         let is_due = self
             .last_gossip_at
@@ -177,17 +178,17 @@
             return Output::default();
         }
         self.last_gossip_at = Some(now);
-        let Some(to) = self.draw_gossip_peer() else {
+        let Some(to) = self.random_gossip_peer() else {
             return Output::default();
         };
         let message = Message::Cohort(self.cohort_message(now));
         Output::messages(vec![OutgoingMessage { to, message }])
     }
 
-    /// A random peer of the cohort, since only starting nodes use the message; any peer while none is known.
-    fn draw_gossip_peer(&mut self) -> Option<NodeId> {
+    /// A random peer of the cohort, since only starting nodes use the message, or any peer while no other member is known.
+    fn random_gossip_peer(&mut self) -> Option<NodeId> {
         match self.cohort.counts().started {
-            0 => Some(self.draw_peer()),
+            0 => Some(self.random_peer()),
             known => {
                 let index = self.rng.random_range(0..known) as usize;
                 self.cohort.peers().nth(index).map(|(peer, _)| peer)
@@ -195,7 +196,8 @@
         }
     }
 
-    /// True while the node's start lasts and [`Input::GossipTimer`](crate::Input::GossipTimer) has an effect.
+    /// Whether the gossip period after the node's start is still running, so that
+    /// [`Input::GossipTimer`](crate::Input::GossipTimer) has an effect.
     pub fn is_gossiping(&self, now: Timestamp) -> bool {
         now - self.started_at < GOSSIP_PERIOD
     }
--- a/crates/startup-scheduler/src/scheduler/reply_budget.rs
+++ b/crates/startup-scheduler/src/scheduler/reply_budget.rs
@@ -1,12 +1,12 @@
-//! A token bucket that bounds the rate of replies to status queries.
+//! A token bucket that limits the rate of replies to status queries.
 
 use applewall_node_types::Timestamp;
 
-/// Replies per second, at most, and the burst that is allowed: an eighth of the 40 datagrams a second that a node accepts,
-/// so that replies never crowd out other messages.
+/// Maximum replies per second, and maximum burst: an eighth of the 40 datagrams per second that a node accepts, so that
+/// replies never crowd out other messages.
 const MAX_REPLIES_PER_SECOND: f64 = 5.0;
 
-/// Bounds the rate of replies.
+/// Token bucket for replies.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplyBudget {
     tokens: f64,
@@ -14,7 +14,7 @@
 }
 
 impl ReplyBudget {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(super) fn new(now: Timestamp) -> Self {
         ReplyBudget {
             tokens: MAX_REPLIES_PER_SECOND,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Takes a token if there is one.
+    /// Takes a token if one is available, and returns whether it did.
     pub(super) fn try_take(&mut self, now: Timestamp) -> bool {
         let refill = (now - self.refilled_at).as_seconds() * MAX_REPLIES_PER_SECOND;
         let tokens = (self.tokens + refill).min(MAX_REPLIES_PER_SECOND);
--- a/crates/startup-scheduler/src/scheduler/tests.rs
+++ b/crates/startup-scheduler/src/scheduler/tests.rs
@@ -1,10 +1,10 @@
-//! The formulas for the times of calls, each with values that can be computed by hand.
+//! The formulas for call times, checked against values that can be computed by hand.
 
 use super::*;
 use crate::{CallFailure, CohortMessage, Message, StatusMessage};
 
 const CALLS_PER_SECOND: f64 = 20.0;
-/// After the replies are collected, and before the cohort's gossip converges.
+/// After the reply collection period, and before gossip converges.
 const NOW: Timestamp = Timestamp::from_seconds(0.1);
 const STATUS: StatusMessage = StatusMessage {
     wants_reply: false,
@@ -38,7 +38,7 @@
         self.handle(NOW, Input::MessageReceived { from, message });
     }
 
-    /// Makes the cohort complete: nodes `0..without_list` have no list, those up to `started` have one.
+    /// Completes the cohort: nodes `0..without_list` have no list, and nodes `without_list..started` have one.
     fn complete_cohort(&mut self, started: u32, without_list: u32) {
         let bitmap = |nodes: u32| -> Vec<u8> {
             let mut bytes = vec![0; self.fleet_size.div_ceil(8) as usize];
@@ -98,11 +98,11 @@
             [vec![STATUS; 3], vec![starting]].concat(),
             25.0,
         ),
-        // Two queries besides this node's own at each replier: 2 * 100 / 4.
+        // Two queries besides this node's own at each replying peer: 2 * 100 / 4.
         ("queries at repliers", vec![queried_by(3); 4], 50.0),
-        // Two of four are silent: 0.5 * 2 / 4 * 100.
+        // Two of four peers do not reply: 0.5 * 2 / 4 * 100.
         ("silent peers", vec![STATUS; 2], 25.0),
-        // Six peers start, and four of them may have become known by their replies: (6 - 4) * 100 / 4.
+        // Six peers start, of which four may have become known by their replies: (6 - 4) * 100 / 4.
         (
             "queries here",
             [vec![STATUS; 4], vec![query; 6]].concat(),
--- a/crates/startup-scheduler/src/status_message.rs
+++ b/crates/startup-scheduler/src/status_message.rs
@@ -1,7 +1,7 @@
-//! The status message: one node reports its own start to a peer.
+//! The status message: a node reports its own state to a peer.
 //!
-//! Format `T1 FLAGS AGE REVISION STARTING`: the flags are a sum of 1, 2 and 4 in the order of the fields below, and a node
-//! without an endpoint list sends `-` as its revision.
+//! Format: `T1 FLAGS AGE REVISION STARTING`. The flags are the sum of 1 (wants a reply), 2 (list confirmed) and 4 (list
+//! service overloaded). A node without an endpoint list sends `-` as its revision.
 
 #[cfg(test)]
 mod tests;
@@ -14,35 +14,35 @@
 const FLAG_CONFIRMED: u64 = 2;
 const FLAG_OVERLOADED: u64 = 4;
 const ALL_FLAGS: u64 = FLAG_WANTS_REPLY | FLAG_CONFIRMED | FLAG_OVERLOADED;
-/// Bounds the revision of a list: far above what list services count to, and exact as a JSON number.
+/// Maximum list revision: far above the revisions of any list service, and exactly representable as a JSON number.
 const MAX_REVISION: u64 = 1 << 53;
-/// Bounds a node's age in tenths of a second: 3,500 years.
+/// Maximum age of a node in tenths of a second: about 3,500 years.
 const MAX_AGE_DECISECONDS: u64 = 1 << 40;
 
-/// One node's own state.
+/// The sender's own state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatusMessage {
-    /// The sender has just started and requests a status message in return.
+    /// The sender has just started and requests a status message in reply.
     pub wants_reply: bool,
-    /// Tenths of a second since the sender started.
+    /// Time since the sender started, in tenths of a second.
     pub age_deciseconds: u64,
-    /// The newest revision of the endpoint list that the sender has, if any.
+    /// Revision of the sender's endpoint list, if it has one.
     pub revision: Option<u64>,
-    /// The list service confirmed that list since the sender started.
+    /// Whether the list service has confirmed that list since the sender started.
     pub confirmed: bool,
-    /// The list service rejected a call recently.
+    /// Whether the list service recently rejected a call.
     pub overloaded: bool,
-    /// Peers that reported their start to the sender recently.
+    /// Number of peers that recently reported their start to the sender.
     pub starting_peers: u32,
 }
 
 impl StatusMessage {
-    /// True for text that begins like a status message of this version.
+    /// Whether the text begins with the tag of this format and version.
     pub fn matches(text: &str) -> bool {
         text.starts_with(TAG)
     }
 
-    /// The text to send.
+    /// Encodes the message.
     pub fn encode(&self) -> String {
         let flags = [
             (self.wants_reply, FLAG_WANTS_REPLY),
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// What is wrong with the text: truncated, of another format or version, or out of range.
+    /// If the text is truncated, has another format or version, or has a value that is out of range.
     pub fn decode(text: &str) -> Result<Self, DecodeError> {
         let mut fields = FieldReader::new(text, TAG)?;
         let flags = fields.number("flags", ALL_FLAGS)?;
--- a/crates/startup-scheduler/src/status_message/tests.rs
+++ b/crates/startup-scheduler/src/status_message/tests.rs
@@ -1,4 +1,4 @@
-//! The status message is decoded as it was encoded, and nothing else is.
+//! Encoding and decoding of the status message.
 
 use super::*;
 
--- a/crates/startup-scheduler/tests/fleets.rs
+++ b/crates/startup-scheduler/tests/fleets.rs
@@ -1,14 +1,14 @@
-//! Fleets in virtual time: calls keep to the budget, and all nodes get their list soon.
+//! Simulated fleets in virtual time: calls stay within the budget, and all nodes receive their list soon.
 
 mod support;
 
 use support::simulation::CALL_TIMEOUT;
 use support::{Observed, Scenario, ALL_WITHOUT_LIST};
 
-/// Seeds that each scenario is run with.
+/// Number of seeds per scenario.
 const SEEDS: u64 = 10;
 
-/// Runs a scenario with each seed and checks that all starting nodes got their list.
+/// Runs a scenario with each seed, and checks that all starting nodes received their list.
 fn run_with_all_seeds(scenario: Scenario, check: impl Fn(&Observed, &str)) {
     for seed in 0..SEEDS {
         let scenario = Scenario { seed, ..scenario };
@@ -23,7 +23,7 @@
     }
 }
 
-/// At most this many calls in the worst second.
+/// Checks that there are at most this many calls in the worst second.
 #[track_caller]
 fn assert_calls_in_a_second(observed: &Observed, max: f64, context: &str) {
     let calls = observed.max_calls(1.0);
@@ -33,13 +33,13 @@
     );
 }
 
-/// At most a quarter more calls than the budget in the worst second, and three for small budgets.
+/// Checks that the worst second exceeds the budget by at most a quarter, plus three calls for small budgets.
 #[track_caller]
 fn assert_calls_are_within_budget(observed: &Observed, calls_per_second: f64, context: &str) {
     assert_calls_in_a_second(observed, 1.25 * calls_per_second + 3.0, context);
 }
 
-/// The last node got its list after this many seconds at the latest.
+/// Checks that the last node received its list after at most this many seconds.
 #[track_caller]
 fn assert_last_list_by(observed: &Observed, max: f64, context: &str) {
     let last = observed.last_list_at();
@@ -92,9 +92,9 @@
         };
         run_with_all_seeds(scenario, |observed, context| {
             assert_calls_are_within_budget(observed, calls_per_second, context);
-            // With windows that began at each node's own start: up to 37 of 24 and 97 of 100.
+            // Windows that begin at each node's own start led to up to 37 rejected calls with 24 nodes, and 97 with 100.
             assert_rejected(observed, 12, context);
-            // A node that is rejected because others called before they knew of it calls again a window later.
+            // A node that is rejected because others called before they knew of it retries one window later.
             assert_last_list_by(observed, start_stagger + 2.1 * 5.0, context);
         });
     }
@@ -187,7 +187,7 @@
         };
         run_with_all_seeds(scenario, |observed, context| {
             assert_calls_are_within_budget(observed, calls_per_second, context);
-            // One window, and the timeout of a call.
+            // One window plus the timeout of a call.
             let max_duration = 1.25 * 5.0 + CALL_TIMEOUT;
             assert_last_list_by(observed, silent_until + max_duration, context);
         });
@@ -202,7 +202,7 @@
     };
     run_with_all_seeds(scenario, |observed, context| {
         assert_calls_in_a_second(observed, 78.0, context);
-        // Seven tenths of the window, and the first second, in which gossip converges.
+        // Seven tenths of the window, plus the first second, in which gossip converges.
         assert_last_list_by(observed, 5.0, context);
         let messages = observed.max_messages_per_second();
         assert!(
--- a/crates/startup-scheduler/tests/measure_startup.rs
+++ b/crates/startup-scheduler/tests/measure_startup.rs
@@ -1,4 +1,4 @@
-//! A measurement: `make measure-cold-start`. Prints a table, and fails where a row is beyond its goal.
+//! Measurement of simulated startups (`make measure-cold-start`). Prints a table, and fails if a row misses its target.
 
 mod support;
 
@@ -48,7 +48,7 @@
     ]
 }
 
-/// Prints the row of a scenario. Returns whether it kept its goal.
+/// Prints the row of a scenario and returns whether it met its target.
 fn print_row(name: &str, scenario: Scenario) -> bool {
     let Scenario {
         fleet_size,
@@ -59,7 +59,7 @@
         .map(|seed| Scenario { seed, ..scenario }.run())
         .collect();
     let worst = |of: &dyn Fn(&Observed) -> f64| runs.iter().map(of).fold(0.0, f64::max);
-    // Starting nodes can't know exactly how many nodes run on, so the goal is the window of the fleet there too.
+    // Starting nodes cannot know exactly how many nodes keep running, so the target is the fleet window in that case too.
     let shortest =
         scenario.start_stagger + scenario.silent_until + f64::from(fleet_size) / calls_per_second;
     let max_calls = worst(&|run| run.max_calls(1.0) as f64);
@@ -99,5 +99,5 @@
         "turns {}: 24 rows of 20 seeds, {missed} missed",
         if missed == 0 { "kept" } else { "missed" }
     );
-    assert_eq!(missed, 0, "rows beyond their goal");
+    assert_eq!(missed, 0, "rows that missed their target");
 }
--- a/crates/startup-scheduler/tests/peer_messages.rs
+++ b/crates/startup-scheduler/tests/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of peers that are wrong or too many.
+//! Incorrect messages of peers, and too many of them.
 
 use applewall_startup_scheduler::{
     Input, ListState, Message, NodeId, Settings, Start, StartupScheduler, StatusMessage, TimeSpan,
@@ -47,7 +47,7 @@
         let output = scheduler.handle(at(0.01), received(from, wrong));
         assert!(output.messages.is_empty(), "a reply to {from}");
     }
-    // The window of the fleet, and one more where the service is reported to be overloaded.
+    // One fleet window, and a second one because the service is reported to be overloaded.
     let first_call_at = scheduler.first_call_at(at(0.1));
     assert!(
         first_call_at <= at(2.0 * 300.0 / 20.0),
--- a/crates/startup-scheduler/tests/support/observed.rs
+++ b/crates/startup-scheduler/tests/support/observed.rs
@@ -1,23 +1,23 @@
-//! What a simulation observes.
+//! Results of a simulation.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What happened in a simulation.
+/// The observed events of one simulation.
 #[derive(Debug, Default)]
 pub(crate) struct Observed {
     /// Starting nodes that restored a list.
     pub(crate) restored: BTreeSet<u32>,
-    /// When each starting node got its list.
+    /// When each starting node received its list.
     pub(crate) listed_at: BTreeMap<u32, f64>,
     /// Times of all calls.
     pub(crate) calls: Vec<f64>,
-    /// Calls that were rejected.
+    /// Number of rejected calls.
     pub(crate) rejected: u32,
     /// Times at which each node received messages.
     pub(super) received: BTreeMap<u32, Vec<f64>>,
 }
 
-/// The highest number of these times that lie within a span.
+/// The maximum number of these times within any span of this length.
 fn max_within(times: &[f64], span: f64) -> usize {
     let from = |(index, start): (usize, &f64)| {
         times[index..]
@@ -29,12 +29,12 @@
 }
 
 impl Observed {
-    /// The highest number of calls within a span.
+    /// The maximum number of calls within any span of this length.
     pub(crate) fn max_calls(&self, span: f64) -> usize {
         max_within(&self.calls, span)
     }
 
-    /// The highest number of messages that one node received within a second.
+    /// The maximum number of messages that one node received within a second.
     pub(crate) fn max_messages_per_second(&self) -> usize {
         self.received
             .values()
@@ -43,7 +43,7 @@
             .unwrap_or(0)
     }
 
-    /// When the last node got its list.
+    /// When the last node received its list.
     pub(crate) fn last_list_at(&self) -> f64 {
         self.listed_at.values().copied().fold(0.0, f64::max)
     }
--- a/crates/startup-scheduler/tests/support/scenario.rs
+++ b/crates/startup-scheduler/tests/support/scenario.rs
@@ -1,34 +1,34 @@
-//! The scenarios of the simulation.
+//! Scenarios of the simulation.
 
 use super::observed::Observed;
 use super::simulation::Simulation;
 
-/// A scenario: a fleet, the capacity of the list service, and the faults of both.
+/// A scenario: a fleet, the capacity of the list service, and the faults of the network and the service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Scenario {
     pub(crate) fleet_size: u32,
-    /// The budget that the nodes are configured with.
+    /// The configured call budget of the nodes.
     pub(crate) calls_per_second: f64,
-    /// The service's real capacity, relative to the configured budget.
+    /// The service's actual capacity, relative to the configured budget.
     pub(crate) capacity: f64,
     /// Fraction of datagrams that are lost.
     pub(crate) loss_fraction: f64,
-    /// Bounds the delay of a datagram, s.
+    /// Maximum delay of a datagram, s.
     pub(crate) max_delay: f64,
-    /// Fraction of the starting nodes that restore a list.
+    /// Probability that a starting node restores a list.
     pub(crate) restored_fraction: f64,
-    /// Fraction of the fleet that keeps running.
+    /// Fraction of the fleet that keeps running and does not start.
     pub(crate) running_fraction: f64,
-    /// The service does not answer before this time, s.
+    /// Time until which the service does not answer, s.
     pub(crate) silent_until: f64,
-    /// Whether the service then answers or rejects all queued calls; otherwise they time out.
+    /// Whether the service then answers or rejects all queued calls at once; otherwise they time out.
     pub(crate) answers_queued_calls: bool,
-    /// The nodes start one after the other over this time, s.
+    /// Period over which the nodes start one after the other, s.
     pub(crate) start_stagger: f64,
     pub(crate) seed: u64,
 }
 
-/// A fleet of 300 in which all nodes start at once and without a list.
+/// A fleet of 300 nodes that all start at the same time and without a list.
 pub(crate) const ALL_WITHOUT_LIST: Scenario = Scenario {
     fleet_size: 300,
     calls_per_second: 60.0,
@@ -44,17 +44,17 @@
 };
 
 impl Scenario {
-    /// Nodes that keep running: those with the lowest numbers.
+    /// Number of nodes that keep running: those with the lowest ids.
     pub(super) fn running_nodes(&self) -> u32 {
         (f64::from(self.fleet_size) * self.running_fraction) as u32
     }
 
-    /// Nodes that start.
+    /// Number of nodes that start.
     pub(crate) fn starting_nodes(&self) -> u32 {
         self.fleet_size - self.running_nodes()
     }
 
-    /// Simulates the scenario until all nodes have their list.
+    /// Simulates the scenario until all nodes have their list or the simulation times out.
     pub(crate) fn run(self) -> Observed {
         let mut simulation = Simulation::new(self);
         simulation.run();
--- a/crates/startup-scheduler/tests/support/simulation.rs
+++ b/crates/startup-scheduler/tests/support/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation: nodes, their datagrams and their calls, stepped in virtual time.
+//! The simulation of the nodes, their datagrams and their calls, in steps of virtual time.
 
 use std::collections::BTreeMap;
 
@@ -12,19 +12,19 @@
 use super::observed::Observed;
 use super::scenario::Scenario;
 
-/// Virtual time between two steps, s.
+/// Time step of the simulation, s.
 const STEP: f64 = 0.005;
-/// Virtual time after which a simulation ends in any case, s.
+/// Maximum virtual duration of a simulation, s.
 const MAX_DURATION: f64 = 600.0;
 /// Unix time of virtual time 0, s.
 const UNIX_TIME_OF_ORIGIN: f64 = 1.7e9;
-/// When running nodes started, s: long enough ago for their start to be over.
+/// Start time of the running nodes, s: long enough ago for their startup to be over.
 const RUNNING_SINCE: f64 = -100.0;
-/// Time from its start for which a node gossips, and a margin, s.
+/// Time after its start during which a node gossips, plus a margin, s.
 const MAX_GOSSIP_PERIOD: f64 = 2.1;
-/// How long a call waits for an answer, s.
+/// Timeout of a call, s.
 pub(crate) const CALL_TIMEOUT: f64 = 2.0;
-/// Revision of the list that the service has.
+/// Revision of the service's list.
 const CURRENT_REVISION: u64 = 9;
 /// Revision of the lists that nodes restore.
 const RESTORED_REVISION: u64 = 7;
@@ -42,13 +42,13 @@
     now: f64,
     nodes: Vec<StartupScheduler>,
     started_at: Vec<f64>,
-    /// By arrival in microseconds, and a random number.
+    /// Ordered by time of arrival in microseconds, with a random number as tie-breaker.
     datagrams: BTreeMap<(u64, u64), Datagram>,
-    /// Started nodes and their next call; none while the first call is to come.
+    /// Time of the next call of each started node; `None` before its first call.
     next_calls: BTreeMap<u32, Option<Timestamp>>,
-    /// When each call began that has no answer yet.
+    /// Start times of the calls without an answer, by node.
     waiting_calls: BTreeMap<u32, f64>,
-    /// Calls that the service can answer now.
+    /// Token bucket of the service: the number of calls that it can answer now.
     tokens: f64,
     pub(super) observed: Observed,
 }
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Steps until all nodes have their list.
+    /// Runs until all nodes have their list or the maximum duration is over.
     pub(super) fn run(&mut self) {
         let starting = self.scenario.starting_nodes() as usize;
         while self.now < MAX_DURATION && self.observed.listed_at.len() < starting {
@@ -161,7 +161,7 @@
                 return;
             };
             let Datagram { from, to, text } = first.remove();
-            // A node that is not up yet receives nothing.
+            // A node that has not started yet receives nothing.
             if self.started_at[to.index()] >= self.now {
                 continue;
             }
@@ -203,7 +203,7 @@
             changed: true,
         };
         let watch_at = self.handle(node, answered).next_call_at;
-        // After the list, one watch, whose answer counts as one with changes.
+        // After its first answer, each node makes one watch, which is also answered as changed, and no further call.
         let is_first = !self.observed.listed_at.contains_key(&node);
         let next = if is_first {
             watch_at
@@ -224,7 +224,8 @@
         self.next_calls.insert(node, next);
     }
 
-    /// When the call began that the service answers or rejects now, if it does either.
+    /// Processes the node's timeouts and due calls. Returns the start time of a call that the service answers or rejects
+    /// now.
     fn answered_call(&mut self, node: u32) -> Option<f64> {
         let now = Timestamp::from_seconds(self.now);
         let next = self.next_calls[&node];
