--- a/crates/node-types/src/tests.rs
+++ b/crates/node-types/src/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn successor_counts_in_a_ring() {
+fn successor_wraps_around_in_a_ring() {
     for (node, distance, expected) in [(0, 1, 1), (2, 1, 0), (1, 2, 0), (2, 3, 2)] {
         assert_eq!(NodeId(node).successor(distance, 3), NodeId(expected));
     }
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn times_are_computed_to_the_same_digit_as_their_seconds() {
+fn time_arithmetic_gives_the_same_results_as_f64() {
     for (earlier, later) in [(0.1, 0.3), (1.7e9, 1.7e9 + 0.123_456_7), (-100.0, 1e-9)] {
         let span = Timestamp::from_seconds(later) - Timestamp::from_seconds(earlier);
         assert_eq!(span.as_seconds(), later - earlier);
--- a/crates/startup-scheduler/src/scheduler/call_times.rs
+++ b/crates/startup-scheduler/src/scheduler/call_times.rs
@@ -139,7 +139,7 @@
     /// A node without a list skips at most as many windows as fit into a fleet window, since nodes with a list leave the
     /// service to it.
     ///
-    /// Test: `node_with_a_list_backs_off_by_at_most_four_windows_of_the_fleet`.
+    /// Test: `node_with_a_list_backs_off_by_at_most_four_fleet_windows`.
     fn random_skipped_windows(&mut self, window: CallWindow) -> u32 {
         let max_windows = if self.list == ListState::Missing {
             (self.fleet_window_length() / window.length).max(1.0)
--- a/crates/startup-scheduler/src/scheduler/call_window.rs
+++ b/crates/startup-scheduler/src/scheduler/call_window.rs
@@ -52,7 +52,7 @@
     /// calls take at the configured rate.
     ///
     /// Tests: `fleet_without_lists_calls_within_its_budget_and_finishes_soon`,
-    /// `first_calls_of_an_unknown_cohort_take_the_window_of_the_estimated_size`.
+    /// `first_call_window_follows_the_estimated_and_then_the_known_cohort_size`.
     pub(super) fn cohort_window(&self) -> CallWindow {
         self.first_window(TimeSpan::from_seconds(
             self.cohort_size() / self.calls_per_second,
--- a/crates/startup-scheduler/src/scheduler/cohort_size.rs
+++ b/crates/startup-scheduler/src/scheduler/cohort_size.rs
@@ -11,7 +11,7 @@
     /// known nodes and the estimate. A window that is too short overloads the service, while one that is too long only costs
     /// time.
     ///
-    /// Test: `first_calls_of_an_unknown_cohort_take_the_window_of_the_estimated_size`.
+    /// Test: `first_call_window_follows_the_estimated_and_then_the_known_cohort_size`.
     pub(super) fn cohort_size(&self) -> f64 {
         let known = f64::from(self.cohort.counts().started + 1);
         if self.cohort.is_complete() {
@@ -26,7 +26,7 @@
     /// fleet's size.
     ///
     /// Tests: `all_nodes_are_assumed_to_start_when_all_messages_are_lost`,
-    /// `seven_in_ten_that_restart_learn_their_number_from_the_running_ones`.
+    /// `restarting_nodes_learn_the_cohort_size_from_running_nodes`.
     fn estimated_cohort_size(&self) -> f64 {
         let fleet_size = f64::from(self.fleet_size);
         let queried = f64::from(self.queried_peers());
@@ -45,7 +45,7 @@
     /// The replying peers are a random sample of the fleet: if a fraction `p` of them started recently, the estimate is
     /// `p * fleet_size`. Without replies, it is the fleet's size.
     ///
-    /// Test: `estimate_grows_with_each_of_its_three_signs`.
+    /// Test: `cohort_size_is_estimated_from_replies_queries_and_missing_replies`.
     fn size_from_replies(&self) -> f64 {
         let fleet_size = f64::from(self.fleet_size);
         if self.replies.is_empty() {
@@ -60,7 +60,7 @@
     /// replying peers, where one of the queries is this node's own, and on this node, where up to `queried` of the starting
     /// peers became known by their replies instead of by queries.
     ///
-    /// Test: `estimate_grows_with_each_of_its_three_signs`.
+    /// Test: `cohort_size_is_estimated_from_replies_queries_and_missing_replies`.
     fn size_from_queries(&self, queried: f64) -> f64 {
         let replies = self.replies.len().max(1) as f64;
         let queries_at_peers = self
@@ -76,7 +76,7 @@
     /// Peers that do not reply may be starting and not up yet: if `s` of `queried` peers do not reply, the estimate is
     /// [`SILENT_PEERS_STARTING_FRACTION`] of `s / queried * fleet_size`.
     ///
-    /// Test: `estimate_grows_with_each_of_its_three_signs`.
+    /// Test: `cohort_size_is_estimated_from_replies_queries_and_missing_replies`.
     fn size_from_missing_replies(&self, queried: f64) -> f64 {
         let silent = (queried - self.replies.len() as f64).max(0.0);
         silent * SILENT_PEERS_STARTING_FRACTION / queried * f64::from(self.fleet_size)
--- a/crates/startup-scheduler/src/scheduler/slot.rs
+++ b/crates/startup-scheduler/src/scheduler/slot.rs
@@ -31,7 +31,7 @@
     /// The node's slot within the whole fleet. With ranks `0..n`, the slots `(rank + 0.5) / n` are evenly spaced over a
     /// window. The offset of one half puts the last slot of a window one step before the first slot of the next.
     ///
-    /// Test: `slots_of_all_nodes_are_a_step_apart`.
+    /// Test: `slots_of_all_nodes_are_evenly_spaced`.
     pub(super) fn fleet_slot(&self) -> Slot {
         Slot((self.cohort.fleet_rank(self.node) as f64 + 0.5) / f64::from(self.fleet_size))
     }
@@ -95,7 +95,7 @@
     /// rank would change with each newly known node, so its fleet slot is used instead, which is stable.
     ///
     /// Tests: `fleet_without_lists_calls_within_its_budget_and_finishes_soon`,
-    /// `lists_lost_by_some_nodes_leave_each_group_in_equal_steps`.
+    /// `slots_are_evenly_spaced_among_nodes_with_and_among_nodes_without_a_list`.
     fn slot_in_group(&self, group_size: f64) -> f64 {
         if self.cohort.is_complete() {
             (f64::from(self.cohort.lower_ranked(self.started_without_list)) + 0.5) / group_size
--- a/crates/startup-scheduler/src/scheduler/tests.rs
+++ b/crates/startup-scheduler/src/scheduler/tests.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn estimate_grows_with_each_of_its_three_signs() {
+fn cohort_size_is_estimated_from_replies_queries_and_missing_replies() {
     let starting = StatusMessage {
         age_deciseconds: 0,
         ..STATUS
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn first_calls_of_an_unknown_cohort_take_the_window_of_the_estimated_size() {
+fn first_call_window_follows_the_estimated_and_then_the_known_cohort_size() {
     let mut node = scheduler(100, 0, ListState::Missing);
     assert_close(node.cohort_window().length.as_seconds(), 5.0);
     for from in 1..=2 {
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn slots_of_all_nodes_are_a_step_apart() {
+fn slots_of_all_nodes_are_evenly_spaced() {
     for fleet_size in [1u32, 3, 24, 100, 1000] {
         let mut offsets: Vec<f64> = (0..fleet_size)
             .map(|node| scheduler(fleet_size, node, ListState::Missing).fleet_slot())
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn lists_lost_by_some_nodes_leave_each_group_in_equal_steps() {
+fn slots_are_evenly_spaced_among_nodes_with_and_among_nodes_without_a_list() {
     let offset = |node: u32| {
         let list = match node {
             0..=14 => ListState::Missing,
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn node_with_a_list_backs_off_by_at_most_four_windows_of_the_fleet() {
+fn node_with_a_list_backs_off_by_at_most_four_fleet_windows() {
     for node in 0..50 {
         let mut node = scheduler(100, node, ListState::Restored(7));
         for max_windows in [1.0, 2.0, 4.0, 4.0] {
--- a/crates/startup-scheduler/tests/fleets.rs
+++ b/crates/startup-scheduler/tests/fleets.rs
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn seven_in_ten_that_restart_learn_their_number_from_the_running_ones() {
+fn restarting_nodes_learn_the_cohort_size_from_running_nodes() {
     let scenario = Scenario {
         running_fraction: 0.3,
         ..ALL_WITHOUT_LIST
--- a/crates/zone-failover/src/failover.rs
+++ b/crates/zone-failover/src/failover.rs
@@ -130,7 +130,7 @@
     /// The canary rate is a limit for the whole fleet, not for each node. The fleet's usual traffic into the zone is
     /// extrapolated from this node's requests, and each node sends the share `canaries_per_s / usual_per_second`.
     ///
-    /// Tests: `canaries_are_a_few_requests_a_second_of_the_fleet`,
+    /// Tests: `canary_rate_is_limited_for_the_whole_fleet`,
     /// `failing_zone_is_ejected_by_most_nodes_within_two_seconds_and_then_gets_only_canaries`.
     pub fn traffic_share(&self, zone: ZoneId) -> f64 {
         let Some(state) = self.states.get(zone.0) else {
--- a/crates/zone-failover/src/failover/tests.rs
+++ b/crates/zone-failover/src/failover/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn canaries_are_a_few_requests_a_second_of_the_fleet() {
+fn canary_rate_is_limited_for_the_whole_fleet() {
     for (fleet_size, requests, expected) in [
         // 10 requests at a time constant of 2 s are 5 per second: 250 per second from 100 nodes into each zone, so 4 / 250.
         (100, 10, 0.016),
--- a/crates/zone-failover/src/zone_state/tests.rs
+++ b/crates/zone-failover/src/zone_state/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn hold_doubles_with_each_failed_return_up_to_a_minute_and_is_reset_by_a_minute_in_use() {
+fn ejection_time_doubles_with_each_failed_return_up_to_a_minute_and_is_reset_by_a_minute_in_use() {
     let mut state = ZoneState::new(at(0.0));
     state.eject(at(1.0));
     for ejection_time in [2.0, 4.0, 8.0, 16.0, 32.0, 60.0, 60.0] {
--- a/crates/zone-failover/tests/fleets.rs
+++ b/crates/zone-failover/tests/fleets.rs
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn flapping_zone_is_used_less_and_less() {
+fn flapping_zone_returns_less_and_less_often() {
     let mut fleet = Fleet::serving(SIZE, 3);
     let mut returns = Vec::new();
     for _ in 0..15 {
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn stopped_or_restarted_node_adopts_the_fleets_decision() {
+fn suspended_or_restarted_node_adopts_the_fleets_decision() {
     // Given a node that is suspended and one that restarts while a zone is ejected.
     let mut fleet = Fleet::serving(SIZE, 11);
     fleet.suspended_until[3] = 12.0;
@@ -362,13 +362,13 @@
 
 /// Guards against good outcomes from before a failure of all zones that make a zone look like a healthy alternative.
 #[test]
-fn no_zone_is_left_when_all_zones_begin_to_be_late_at_once() {
+fn no_zone_is_ejected_when_all_zones_become_slow_at_once() {
     assert_eq!(simulations_with_transitions(Behavior::Slow, |_| ()), []);
 }
 
 /// Guards against the same with zones that respond with failures or not at all.
 #[test]
-fn no_zone_is_left_when_all_zones_begin_to_fail_or_fall_silent_at_once() {
+fn no_zone_is_ejected_when_all_zones_begin_to_fail_or_stop_responding_at_once() {
     let silent = simulations_with_transitions(Behavior::Silent, |_| ());
     let failing = simulations_with_transitions(Behavior::Fails, |_| ());
     assert_eq!((silent, failing), (vec![], vec![]));
@@ -376,7 +376,7 @@
 
 /// Guards against the same when messages are lost or late, so that reports are outdated when they arrive.
 #[test]
-fn no_zone_is_left_when_all_zones_begin_to_fail_and_messages_are_lost_or_late() {
+fn no_zone_is_ejected_when_all_zones_begin_to_fail_and_messages_are_lost_or_late() {
     let make_lossy = |fleet: &mut Fleet| (fleet.loss, fleet.max_delay) = (0.3, 1.0);
     for behavior in [Behavior::Slow, Behavior::Silent, Behavior::Fails] {
         let simulations = simulations_with_transitions(behavior, make_lossy);
@@ -386,7 +386,7 @@
 
 /// Guards against ejecting a returning zone again because all zones fail.
 #[test]
-fn returning_zone_is_not_left_again_when_all_zones_begin_to_fail_at_once() {
+fn returning_zone_is_not_ejected_again_when_all_zones_begin_to_fail_at_once() {
     for size in [3, SIZE, 100] {
         for behavior in [Behavior::Slow, Behavior::Silent, Behavior::Fails] {
             for seed in 0..SEEDS {
