--- a/crates/startup-scheduler/src/scheduler/tests.rs
+++ b/crates/startup-scheduler/src/scheduler/tests.rs
@@ -1,10 +1,10 @@
-//! The formulas for the times of calls, each with values that can be computed by hand.
+//! The formulas for call times, checked against values that can be computed by hand.
 
 use super::*;
 use crate::{CallFailure, CohortMessage, Message, StatusMessage};
 
 const CALLS_PER_SECOND: f64 = 20.0;
-/// After the replies are collected, and before the cohort's gossip converges.
+/// After the reply collection period, and before gossip converges.
 const NOW: Timestamp = Timestamp::from_seconds(0.1);
 const STATUS: StatusMessage = StatusMessage {
     wants_reply: false,
@@ -38,7 +38,7 @@
         self.handle(NOW, Input::MessageReceived { from, message });
     }
 
-    /// Makes the cohort complete: nodes `0..without_list` have no list, those up to `started` have one.
+    /// Completes the cohort: nodes `0..without_list` have no list, and nodes `without_list..started` have one.
     fn complete_cohort(&mut self, started: u32, without_list: u32) {
         let bitmap = |nodes: u32| -> Vec<u8> {
             let mut bytes = vec![0; self.fleet_size.div_ceil(8) as usize];
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn estimate_grows_with_each_of_its_three_signs() {
+fn cohort_size_is_estimated_from_replies_queries_and_missing_replies() {
     let starting = StatusMessage {
         age_deciseconds: 0,
         ..STATUS
@@ -98,11 +98,11 @@
             [vec![STATUS; 3], vec![starting]].concat(),
             25.0,
         ),
-        // Two queries besides this node's own at each replier: 2 * 100 / 4.
+        // Two queries besides this node's own at each replying peer: 2 * 100 / 4.
         ("queries at repliers", vec![queried_by(3); 4], 50.0),
-        // Two of four are silent: 0.5 * 2 / 4 * 100.
+        // Two of four peers do not reply: 0.5 * 2 / 4 * 100.
         ("silent peers", vec![STATUS; 2], 25.0),
-        // Six peers start, and four of them may have become known by their replies: (6 - 4) * 100 / 4.
+        // Six peers start, of which four may have become known by their replies: (6 - 4) * 100 / 4.
         (
             "queries here",
             [vec![STATUS; 4], vec![query; 6]].concat(),
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn first_calls_of_an_unknown_cohort_take_the_window_of_the_estimated_size() {
+fn first_call_window_follows_the_estimated_and_then_the_known_cohort_size() {
     let mut node = scheduler(100, 0, ListState::Missing);
     assert_close(node.cohort_window().length.as_seconds(), 5.0);
     for from in 1..=2 {
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn slots_of_all_nodes_are_a_step_apart() {
+fn slots_of_all_nodes_are_evenly_spaced() {
     for fleet_size in [1u32, 3, 24, 100, 1000] {
         let mut offsets: Vec<f64> = (0..fleet_size)
             .map(|node| scheduler(fleet_size, node, ListState::Missing).fleet_slot())
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn lists_lost_by_some_nodes_leave_each_group_in_equal_steps() {
+fn slots_are_evenly_spaced_among_nodes_with_and_among_nodes_without_a_list() {
     let offset = |node: u32| {
         let list = match node {
             0..=14 => ListState::Missing,
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn node_with_a_list_backs_off_by_at_most_four_windows_of_the_fleet() {
+fn node_with_a_list_backs_off_by_at_most_four_fleet_windows() {
     for node in 0..50 {
         let mut node = scheduler(100, node, ListState::Restored(7));
         for max_windows in [1.0, 2.0, 4.0, 4.0] {
