--- a/src/daemon/discovery/endpoint_list.rs
+++ b/src/daemon/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
-//! The endpoint list as JSON: discovery's answers and the configuration's `known` have this form.
+//! JSON form of the endpoint list, used by discovery's responses and by the configuration's `known`.
 //!
-//! Input: a list. Output: its entries in the decision policy's terms, and a log line for each rejected one. Invariant: a
-//! malformed entry is rejected alone; the others are used.
+//! Converts the entries to the types of the decision policy. A malformed entry is logged and skipped; the other entries of
+//! the list are used.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -14,30 +14,30 @@
 use crate::clock::Clock;
 use crate::engine::message::EndpointEntry;
 
-/// Maximum number of rejected entries of one list that are logged one by one; of further ones the number is logged.
+/// Maximum number of rejected entries of one list that are logged individually; the rest are logged as a count.
 const MAX_LOGGED_ENTRIES: usize = 3;
-/// Maximum number of rejected entries that are remembered as logged: bounds the memory that a discovery which sends new
-/// malformed entries all the time can claim.
+/// Maximum number of rejected entries that are remembered as logged. Bounds memory use when discovery keeps sending new
+/// malformed entries.
 const MAX_REPORTED_ENTRIES: usize = 1024;
-/// Maximum length of an id in the log, in characters: ids are discovery's text and may be of any length.
+/// Maximum length of an id in the log, in characters; discovery may send ids of any length.
 const MAX_LOGGED_ID_CHARS: usize = 40;
-/// What the log has in place of the id of an entry that has none.
+/// Logged in place of a missing id.
 const MISSING_ID: &str = "an entry without a uid";
-/// The cell of an endpoint that names none.
+/// The cell of an endpoint without a pod group.
 const NO_CELL: CellId = CellId(-1);
 
-/// An endpoint list, or the changes to one.
+/// A full endpoint list, or a delta.
 #[derive(Clone, Debug, Default, Deserialize)]
-// Part of the error's text for a list that is not an object, which is as in earlier versions.
+// Keeps the error message for a list that is not an object the same as in earlier versions.
 #[serde(expecting = "struct Answer")]
 pub(crate) struct EndpointList {
-    /// Revision of the list; it grows with each change.
+    /// Revision of the list, which increases with each change.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// True for the full list, false for changes to it.
+    /// True for the full list, false for a delta.
     #[serde(default, rename = "all")]
     pub complete: bool,
-    /// The entries. They are parsed one by one, so that a malformed one does not make the list unreadable.
+    /// The entries, parsed one by one so that a malformed entry does not invalidate the list.
     #[serde(default)]
     pub targets: Vec<Value>,
 }
@@ -60,7 +60,7 @@
     boot_ms: u64,
 }
 
-/// Why an entry is rejected.
+/// Reason for rejecting an entry.
 #[derive(Debug, thiserror::Error)]
 enum EntryError {
     #[error(transparent)]
@@ -69,14 +69,15 @@
     UnknownState(String),
 }
 
-/// Rejected entries that were logged: each is logged once for as long as it stays as it is.
+/// Rejected entries that were already logged. An entry is logged again only when its error changes, or after a full list
+/// without it.
 #[derive(Default)]
 pub(crate) struct ReportedEntries {
     entries: HashSet<String>,
 }
 
 impl ReportedEntries {
-    /// Logs the rejected entries of a list that were not logged before.
+    /// Logs those rejected entries of a list that were not logged before.
     fn report(&mut self, list: &EndpointList, rejected: &[RejectedEntry]) {
         let is_new = |entry: &&RejectedEntry| !self.entries.contains(&entry.key());
         let new: Vec<&RejectedEntry> = rejected.iter().filter(is_new).collect();
@@ -95,7 +96,7 @@
         );
     }
 
-    /// Entries that a full list no longer has are forgotten; changes do not repeat what an earlier list had.
+    /// A full list replaces the remembered entries; a delta adds to them, because it does not repeat earlier entries.
     fn remember(&mut self, complete: bool, reported: HashSet<String>) {
         if complete {
             self.entries = reported;
@@ -107,9 +108,9 @@
 
 /// A malformed entry of a list.
 struct RejectedEntry {
-    /// Its place in the list.
+    /// Position in the list.
     index: usize,
-    /// Its id, escaped and shortened for the log.
+    /// The id, escaped and truncated for the log.
     id: String,
     error: EntryError,
 }
@@ -125,19 +126,19 @@
         }
     }
 
-    /// What makes it the same entry with the same fault.
+    /// Identifies the entry and its error.
     fn key(&self) -> String {
         format!("{}: {}", self.id, self.error)
     }
 }
 
 impl EndpointList {
-    /// The entries in the decision policy's terms; rejected ones are logged.
+    /// Converts the entries to the types of the decision policy, and logs rejected ones.
     pub(crate) fn entries(&self, settings: &PlatformSettings, clock: &Clock) -> Vec<EndpointEntry> {
         self.entries_with_new_warnings(&mut ReportedEntries::default(), settings, clock)
     }
 
-    /// The same; rejected entries that were logged for an earlier list are not logged again.
+    /// Like [`EndpointList::entries`], but does not log rejected entries that are already in `reported`.
     pub(crate) fn entries_with_new_warnings(
         &self,
         reported: &mut ReportedEntries,
@@ -147,7 +148,7 @@
         let mut entries = Vec::with_capacity(self.targets.len());
         let mut rejected = Vec::new();
         for (index, value) in self.targets.iter().enumerate() {
-            match entry(value, settings, clock) {
+            match parse_entry(value, settings, clock) {
                 Ok(entry) => entries.push(entry),
                 Err(error) => rejected.push(RejectedEntry::new(index, value, error)),
             }
@@ -157,7 +158,7 @@
     }
 }
 
-fn entry(
+fn parse_entry(
     value: &Value,
     settings: &PlatformSettings,
     clock: &Clock,
--- a/src/daemon/discovery/endpoint_list/tests.rs
+++ b/src/daemon/discovery/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! Lists with malformed entries, and which of these are remembered as logged.
+//! Lists with malformed entries, and which of those entries are remembered as logged.
 
 use super::*;
 use crate::config::platform::PlatformConfig;
--- a/src/daemon/discovery/mod.rs
+++ b/src/daemon/discovery/mod.rs
@@ -1,10 +1,10 @@
-//! The endpoint list: its form, the watch of discovery, registries, and what nodes agree on by datagrams.
+//! The endpoint list: its format, its sources, and the coordination between nodes that depends on it.
 //!
-//! - [`endpoint_list`]: the list as JSON;
-//! - [`watch`]: watches the list at discovery;
-//! - [`registry`]: merges registries with it;
+//! - [`endpoint_list`]: the JSON form of the list;
+//! - [`watch`]: watches the list at the discovery service;
+//! - [`registry`]: merges the lists of registries and of discovery;
 //! - [`startup`]: schedules the calls to discovery when the nodes of a fleet start;
-//! - [`zone_failover`]: moves traffic away from zones that fail.
+//! - [`zone_failover`]: moves traffic away from failing zones.
 
 pub(crate) mod endpoint_list;
 pub(crate) mod registry;
--- a/src/daemon/discovery/registry.rs
+++ b/src/daemon/discovery/registry.rs
@@ -1,12 +1,11 @@
 //! Merges registries and discovery into one endpoint list.
 //!
-//! Each is a source of one membership, in the precedence registry, Consul, discovery; what changes in the membership is an
-//! update for the engine. Without a registry, discovery's updates go to the engine directly.
+//! The sources of the membership are, in order of precedence, the registry, Consul and discovery. Changes of the merged
+//! membership are sent to the engine. Without a registry, discovery's updates go to the engine directly.
 //!
-//! Owner: the task that [`start`] spawns. Input: discovery's updates, and the registries' reports through their watches.
-//! Output: updates for the engine's queue, and a snapshot of the registry's list on disk. Invariants: removals are sent
-//! before additions, so that a new incarnation of an id is a new endpoint; a list that no source reports as current any more
-//! stays in use.
+//! [`start`] spawns the task that watches the sources, sends the updates and writes snapshots of the registry's list to
+//! disk. Removals are sent before additions, so that the engine treats a new incarnation of an id as a new endpoint. If all
+//! sources become stale, the last list stays in use.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -27,16 +26,17 @@
 use merged_list::{MergedList, CONSUL, REGISTRY};
 use snapshot_file::{LastSnapshot, SnapshotFile};
 
-/// Interval between checks of the sources' ages, which change without a report.
+/// Interval between checks of whether a source has become stale; staleness is not notified.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Updates of discovery that wait for the merge. The watch sends one at a time; more than a few mean that the engine is
-/// overloaded, and the watch is to wait.
+/// Capacity of the queue of discovery's updates. The watch sends one at a time; when the engine is overloaded, the full
+/// queue makes the watch wait.
 const QUEUE_LENGTH: usize = 16;
-/// A blocking query proves its list current only when it ends: the list is fresh for this many of its waits.
+/// A blocking query confirms that its list is current only when it returns, so that the list counts as fresh for this many
+/// times the query's wait.
 const BLOCKING_QUERY_WAITS: u32 = 2;
 
-/// Returns where discovery's updates go: to the engine's queue, or to the merge where a registry is enabled, whose task is
-/// spawned on `tasks`. What is enabled is decided at the process's start.
+/// Returns the queue for discovery's updates. If a registry is enabled, this spawns the merge on `tasks` and returns its
+/// queue; otherwise it returns the engine's queue. Which registries are enabled is decided when the process starts.
 pub(crate) fn start(
     operator: &watch::Receiver<Arc<OperatorConfig>>,
     config: &PlatformConfig,
@@ -48,7 +48,7 @@
     if !operator.registry.enabled.0 && !operator.consul.enabled.0 {
         return queue;
     }
-    let (discovery, discovered) = mpsc::channel(QUEUE_LENGTH);
+    let (discovery_updates, received_updates) = mpsc::channel(QUEUE_LENGTH);
     let known = config.known_endpoints.entries(&config.settings, &clock);
     let settings = config.settings.clone();
     let list = MergedList::new(&known, max_age(&operator), settings, clock);
@@ -60,11 +60,11 @@
         seed: config.seed,
         queue,
     };
-    tasks.spawn(merge.run(known, discovered));
-    discovery
+    tasks.spawn(merge.run(known, received_updates));
+    discovery_updates
 }
 
-/// How long a source is fresh after its list was last known to be current.
+/// How long a source counts as fresh after its list was last confirmed to be current.
 fn max_age(operator: &OperatorConfig) -> Duration {
     // A source must not become stale while its blocking query waits.
     let blocking_query = if operator.consul.enabled.0 {
@@ -76,16 +76,16 @@
     believed.max(blocking_query * BLOCKING_QUERY_WAITS)
 }
 
-/// The engine no longer receives updates.
+/// Error of sending to an engine that has ended.
 struct EngineEnded;
 
-/// The merged list, its sources and where its changes go.
+/// Merges the sources and sends the changes to the engine.
 struct Merge {
-    /// Locked for one report or one look at its changes, never across an await.
+    /// Locked for one operation at a time, never across an await.
     list: Mutex<MergedList>,
     /// Notified when a source has reported.
     changed: Notify,
-    /// The file of the registry's list, where the settings have a directory for it.
+    /// File of the registry's list, if a directory is configured for it.
     snapshots: Option<SnapshotFile>,
     operator: Arc<OperatorConfig>,
     seed: u64,
@@ -94,25 +94,25 @@
 
 impl Merge {
     /// Watches all sources until the engine has ended.
-    async fn run(self, known: Vec<EndpointEntry>, discovered: mpsc::Receiver<Message>) {
-        // The engine has these endpoints already; they are discovery's list until it reports another.
+    async fn run(self, known: Vec<EndpointEntry>, discovery_updates: mpsc::Receiver<Message>) {
+        // The engine already has the known endpoints. They count as discovery's list until discovery reports another.
         self.apply(|list| list.apply_discovery(EndpointUpdateKind::Cached, known));
         self.list().discard_changes();
         let position = self.restore_snapshot();
         tokio::select! {
             () = self.watch_registry(position) => {}
             () = self.watch_consul() => {}
-            () = self.follow_discovery(discovered) => {}
+            () = self.apply_discovery_updates(discovery_updates) => {}
             () = self.publish() => {}
         }
     }
 
     fn list(&self) -> MutexGuard<'_, MergedList> {
-        // Nothing panics while it holds the lock; if something did, the list would be consistent.
+        // No code panics while it holds the lock; if one did, the list would still be consistent.
         self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the list, and lets [`Merge::publish`] send what follows.
+    /// Changes the list and wakes [`Merge::publish`] to send the resulting changes.
     fn apply<T>(&self, change: impl FnOnce(&mut MergedList) -> T) -> T {
         let result = change(&mut self.list());
         self.changed.notify_one();
@@ -141,9 +141,9 @@
         .await;
     }
 
-    async fn follow_discovery(&self, mut discovered: mpsc::Receiver<Message>) {
+    async fn apply_discovery_updates(&self, mut updates: mpsc::Receiver<Message>) {
         while let Some(Message::EndpointUpdate(EndpointUpdate { kind, entries })) =
-            discovered.recv().await
+            updates.recv().await
         {
             self.apply(|list| list.apply_discovery(kind, entries));
         }
@@ -154,7 +154,7 @@
     async fn publish(&self) {
         let mut last_snapshot = LastSnapshot::none();
         loop {
-            // A change of a source's age is not notified: the interval finds it.
+            // The timeout detects sources that have become stale, which is not notified.
             let _ = tokio::time::timeout(POLL_INTERVAL, self.changed.notified()).await;
             let changes = self.list().take_changes();
             if self.send(changes.removed).await.is_err()
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Sends entries to the engine; an error where the engine has ended.
+    /// Sends entries to the engine.
     async fn send(&self, entries: Vec<EndpointEntry>) -> Result<(), EngineEnded> {
         if entries.is_empty() {
             return Ok(());
@@ -178,7 +178,7 @@
         self.queue.send(update).await.map_err(|_| EngineEnded)
     }
 
-    /// Starts from the list in the snapshot of an earlier process; returns the position to resume the watch from.
+    /// Restores the list from the snapshot of an earlier process; returns the position to resume the watch from.
     fn restore_snapshot(&self) -> Option<Position> {
         let settings = &self.operator.registry;
         if !settings.enabled.0 {
--- a/src/daemon/discovery/registry/merged_list.rs
+++ b/src/daemon/discovery/registry/merged_list.rs
@@ -1,8 +1,7 @@
-//! The endpoint list that all sources together report, without I/O: the membership core (`applewall_membership`) in the
-//! decision policy's terms.
+//! The endpoint list merged from all sources, without I/O. Applies the sources' reports to the membership
+//! (`applewall_membership`) and converts its changes to updates for the engine.
 //!
-//! Owner: the merge. Input: reports of the sources. Output: the changes for the engine that follow from them. Invariant: an
-//! endpoint from before this process's start is not taken for one that has just started.
+//! An endpoint that is older than this process is not treated as newly started.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,7 +20,7 @@
 
 mod conversion;
 
-use conversion::{endpoint_entry, member_update, removed};
+use conversion::{endpoint_entry, member_update, removal};
 
 /// The registry, which takes precedence over the other sources.
 pub(super) const REGISTRY: SourceId = SourceId(0);
@@ -30,46 +29,47 @@
 /// The discovery service, whose list is used where no other source has one.
 const DISCOVERY: SourceId = SourceId(2);
 const SOURCE_COUNT: usize = 3;
-/// Cluster id of discovery's positions: discovery has none.
+/// Cluster id of discovery's positions; discovery has no cluster id of its own.
 const DISCOVERY_CLUSTER: ClusterId = ClusterId(0);
-/// A start time on the decision policy's clock that is long past; none would mean an unknown one.
+/// Start time, on the decision policy's clock, of an endpoint that started long ago. `None` would mean an unknown start
+/// time.
 const LONG_PAST_NS: u64 = 1;
-/// Age in the log of a list that was never reported, s.
+/// Logged as the age, in seconds, of a source that has never reported a list.
 const NEVER_REPORTED: i64 = -1;
 
-/// What changed, in the decision policy's terms. Removals are to be applied first: an endpoint with a new incarnation is in
-/// both lists.
+/// Changes of the merged list, as entries for the engine. Removals have to be applied first: an endpoint with a new
+/// incarnation is in both lists.
 #[derive(Default)]
 pub(super) struct EndpointChanges {
-    /// Endpoints that were removed.
+    /// Removed endpoints.
     pub removed: Vec<EndpointEntry>,
-    /// Endpoints that were added or changed.
+    /// Added and changed endpoints.
     pub updated: Vec<EndpointEntry>,
 }
 
-/// The merged list, and the list that the engine has.
+/// The merged list, and the entries that were sent to the engine.
 pub(super) struct MergedList {
     membership: MergedMembership,
     clock: Clock,
     settings: Arc<PlatformSettings>,
-    /// Entries as discovery reported them: they have a machine type, for which a member's record has no field.
+    /// Entries as discovery reported them. They have a machine type, for which a member's record has no field.
     discovered: BTreeMap<String, EndpointEntry>,
     /// The entries that the engine has.
     sent: BTreeMap<String, EndpointEntry>,
-    /// By source: whether it has reported a full list.
-    listed: [bool; SOURCE_COUNT],
-    /// Members of these first lists that the engine does not have yet. They were there before this process, and are not
-    /// taken for newly started.
+    /// Whether each source has reported a full list.
+    has_listed: [bool; SOURCE_COUNT],
+    /// Members of the sources' first full lists that were not sent to the engine yet. They existed before this process and
+    /// are not treated as newly started.
     in_first_list: BTreeSet<String>,
-    /// Number of discovery's updates, which stands in for revisions: the watch has checked discovery's own ones already,
-    /// and discovery may restart them.
+    /// Number of discovery's updates, used as its revision. Discovery's own revisions were checked by the watch, and
+    /// discovery may restart them.
     discovery_updates: u64,
-    /// Whether all sources were stale at the last look.
-    stale: bool,
+    /// Whether all sources were stale at the last check.
+    all_stale: bool,
 }
 
 impl MergedList {
-    /// A list without members, while the engine has the entries `known`. A source is fresh for `max_age`.
+    /// An empty list; the engine already has the entries `known`. A source counts as fresh for `max_age`.
     pub(super) fn new(
         known: &[EndpointEntry],
         max_age: Duration,
@@ -86,22 +86,22 @@
             settings,
             discovered: BTreeMap::new(),
             sent,
-            listed: [false; SOURCE_COUNT],
+            has_listed: [false; SOURCE_COUNT],
             in_first_list: BTreeSet::new(),
             discovery_updates: 0,
-            stale: false,
+            all_stale: false,
         }
     }
 
     fn full_list_reported(&mut self, source: SourceId, updates: &[MemberUpdate]) {
-        let is_first = !std::mem::replace(&mut self.listed[source.0], true);
+        let is_first = !std::mem::replace(&mut self.has_listed[source.0], true);
         if is_first {
             let ids = updates.iter().map(|update| update.id.clone());
             self.in_first_list.extend(ids);
         }
     }
 
-    /// Applies a registry's report; returns what became of it.
+    /// Applies a registry's report.
     pub(super) fn apply(&mut self, source: SourceId, report: SourceInput) -> SourceOutput {
         if let SourceInput::FullList(list) = &report {
             self.full_list_reported(source, &list.updates);
@@ -109,7 +109,7 @@
         self.source(source).handle(Instant::now(), report)
     }
 
-    /// Applies discovery's update.
+    /// Applies an update of discovery.
     pub(super) fn apply_discovery(
         &mut self,
         kind: EndpointUpdateKind,
@@ -137,8 +137,8 @@
         self.source(DISCOVERY).handle(Instant::now(), report);
     }
 
-    /// Restores the registry's list of a snapshot; returns its position. Create revisions are not in the snapshot, so that
-    /// a member that the registry reports next counts as a new incarnation: it may have restarted since.
+    /// Restores the registry's list from a snapshot; returns its position. The snapshot has no create revisions, so a member
+    /// that the registry reports later counts as a new incarnation: it may have restarted in the meantime.
     pub(super) fn restore(&mut self, snapshot: Snapshot) -> Position {
         let revision = snapshot.revision;
         let position = Position {
@@ -171,24 +171,24 @@
         self.membership.source_mut(source)
     }
 
-    /// Discards the changes up to now, for a list that the engine has already.
+    /// Discards the changes up to now, for a list that the engine already has.
     pub(super) fn discard_changes(&mut self) {
         self.membership.take_changes(Instant::now());
     }
 
-    /// What changed since the last call.
+    /// Returns the changes since the last call.
     pub(super) fn take_changes(&mut self) -> EndpointChanges {
         let now = Instant::now();
         let member_changes = self.membership.take_changes(now);
         self.log_staleness(now);
         let mut changes = EndpointChanges::default();
         for change in member_changes {
-            self.take_change(change, self.clock.nanos_at(now), &mut changes);
+            self.add_change(change, self.clock.nanos_at(now), &mut changes);
         }
         changes
     }
 
-    fn take_change(&mut self, change: MemberChange, now_ns: u64, changes: &mut EndpointChanges) {
+    fn add_change(&mut self, change: MemberChange, now_ns: u64, changes: &mut EndpointChanges) {
         let MemberChange {
             id,
             record,
@@ -198,13 +198,14 @@
         let before = self.sent.remove(&id);
         let Some(record) = record else {
             self.discovered.remove(&id);
-            changes.removed.extend(before.map(removed));
+            changes.removed.extend(before.map(removal));
             return;
         };
         let replaced = before.filter(|_| new_incarnation);
-        // The endpoint has started by now at the latest; its record may have a later start, by another clock.
+        // A replaced endpoint counts as started no earlier than now. Its record may give a later start, by the clock of
+        // another machine.
         let observed_start_ns = replaced.as_ref().map(|_| now_ns);
-        changes.removed.extend(replaced.map(removed));
+        changes.removed.extend(replaced.map(removal));
         let discovered = match source {
             Some(DISCOVERY) => self.discovered.get(&id).cloned(),
             _ => None,
@@ -218,13 +219,13 @@
         changes.updated.push(entry);
     }
 
-    /// Logs when the last source becomes stale, and when one is fresh again.
+    /// Logs when the last source becomes stale, and when a source is fresh again.
     fn log_staleness(&mut self, now: Instant) {
-        let stale = self.membership.all_stale(now);
-        if std::mem::replace(&mut self.stale, stale) == stale {
+        let all_stale = self.membership.all_stale(now);
+        if std::mem::replace(&mut self.all_stale, all_stale) == all_stale {
             return;
         }
-        if !stale {
+        if !all_stale {
             return tracing::info!("endpoint list current again");
         }
         let seconds = |age: Option<Duration>| {
--- a/src/daemon/discovery/registry/merged_list/conversion.rs
+++ b/src/daemon/discovery/registry/merged_list/conversion.rs
@@ -1,4 +1,4 @@
-//! Members of the membership and endpoints of the decision policy, converted into each other.
+//! Conversion between members of the membership and endpoints of the decision policy.
 
 use applewall::api::{CellId, Endpoint, EndpointState, MachineTypeId};
 use applewall::platform_settings::PlatformSettings;
@@ -7,10 +7,10 @@
 use crate::clock::Clock;
 use crate::engine::message::EndpointEntry;
 
-/// Machine type of all endpoints from registries, whose records have no field for it.
+/// Machine type of all endpoints from registries; their records have no field for it.
 const NO_MACHINE_TYPE: MachineTypeId = MachineTypeId(0);
 
-/// A member as an endpoint of the decision policy.
+/// Converts a member to an endpoint of the decision policy.
 pub(super) fn endpoint_entry(
     id: &str,
     record: &MemberRecord,
@@ -35,11 +35,11 @@
     }
 }
 
-/// An entry of discovery as an update of the membership. Its record serves to recognise changes alone, and has only the
-/// fields that do: where discovery decides on a member, the engine gets discovery's own entry.
+/// Converts an entry of discovery to an update of the membership. The record is used only to detect changes and has only the
+/// fields that this needs; for a member that comes from discovery, the engine receives discovery's own entry.
 pub(super) fn member_update(entry: &EndpointEntry, revision: u64) -> MemberUpdate {
     let endpoint = &entry.endpoint;
-    // An endpoint with another start time is another incarnation.
+    // A different start time means another incarnation.
     let started_at_ns = endpoint.started_at_ns.unwrap_or(0);
     let record = MemberRecord {
         endpoint: entry.address,
@@ -60,8 +60,8 @@
     }
 }
 
-/// The removal of an endpoint.
-pub(super) fn removed(mut entry: EndpointEntry) -> EndpointEntry {
+/// The entry that removes an endpoint.
+pub(super) fn removal(mut entry: EndpointEntry) -> EndpointEntry {
     entry.endpoint.state = EndpointState::Removed;
     entry
 }
--- a/src/daemon/discovery/registry/merged_list/tests.rs
+++ b/src/daemon/discovery/registry/merged_list/tests.rs
@@ -1,4 +1,4 @@
-//! Changes for the engine that follow from discovery's and a registry's reports.
+//! Changes sent to the engine after reports of discovery and of a registry.
 
 use applewall::api::{Endpoint, EndpointState};
 use applewall_membership::{MemberRecord, MemberState};
--- a/src/daemon/discovery/registry/snapshot_file.rs
+++ b/src/daemon/discovery/registry/snapshot_file.rs
@@ -1,6 +1,6 @@
-//! The registry's last known list on disk, from which the next process starts, and when it is written.
+//! Snapshot of the registry's list on disk, from which the next process starts.
 //!
-//! Owner: the merge. Input and output: [`Snapshot`]s. Invariant: a crash at any moment leaves the old file or the new one.
+//! The file is replaced atomically: after a crash at any moment it holds the old or the new snapshot.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,46 +11,46 @@
 
 use crate::system::durable_file;
 
-/// Minimum time between snapshots: bounds the writes while the list changes all the time.
+/// Minimum time between snapshots. Limits disk writes when the list changes continuously.
 const MIN_SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum time between snapshots, also where nothing changed: the snapshot's time is when its list was last known to be
-/// current.
+/// Maximum time between snapshots, also when nothing changed: the snapshot's timestamp says when its list was last confirmed
+/// to be current.
 const MAX_SNAPSHOT_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Why a snapshot cannot be read or written.
+/// Error of reading or writing a snapshot.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SnapshotFileError {
     /// The file cannot be read or written.
     #[error("{}: {source}", .path.display())]
     Io {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The operating system's error.
         source: io::Error,
     },
-    /// The file's contents are not a snapshot that may be used.
+    /// The file does not contain a usable snapshot.
     #[error("{}: {source}", .path.display())]
     Unusable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Why the snapshot cannot be used.
         source: SnapshotError,
     },
 }
 
-/// When the last snapshot was written, and of which position.
+/// Time and position of the last snapshot that was written.
 pub(super) struct LastSnapshot {
     written_at: Instant,
     position: Option<Position>,
 }
 
 impl LastSnapshot {
-    /// A snapshot that counts as written now, of no position.
+    /// No snapshot yet; the intervals count from now.
     pub(super) fn none() -> Self {
         LastSnapshot::at(None)
     }
 
-    /// A snapshot that is written now.
+    /// A snapshot of `position`, written now.
     pub(super) fn at(position: Option<Position>) -> Self {
         LastSnapshot {
             written_at: Instant::now(),
@@ -58,28 +58,28 @@
         }
     }
 
-    /// Whether the next snapshot, of this position, is to be written.
+    /// Whether a snapshot of `position` is due.
     pub(super) fn is_next_due(&self, position: Option<Position>) -> bool {
         let age = self.written_at.elapsed();
         let changed = position != self.position;
         age >= MAX_SNAPSHOT_INTERVAL || (age >= MIN_SNAPSHOT_INTERVAL && changed)
     }
 
-    /// The write failed: the next one is due as after a change.
+    /// Records that the write failed; the next write is due after [`MIN_SNAPSHOT_INTERVAL`], as after a change.
     pub(super) fn write_failed(&mut self) {
         self.position = None;
     }
 }
 
-/// The file in the directory that the settings name.
+/// The snapshot file in the configured directory.
 pub(super) struct SnapshotFile {
     path: PathBuf,
-    /// The next snapshot, which is renamed to `path` once it is on disk.
+    /// Temporary file of the next snapshot, which is renamed to `path` once it is on disk.
     next: PathBuf,
 }
 
 impl SnapshotFile {
-    /// The file in a directory.
+    /// The snapshot file in `directory`.
     pub(super) fn new(directory: &str) -> Self {
         SnapshotFile {
             path: path(directory),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Reads the snapshot; none where there is no file, as before the first process wrote one.
+    /// Reads the snapshot; `None` if the file does not exist.
     pub(super) fn read(&self, max_age: Duration) -> Result<Option<Snapshot>, SnapshotFileError> {
         let bytes = match std::fs::read(&self.path) {
             Ok(bytes) => bytes,
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Writes a snapshot on a thread for blocking calls, so that a slow disk does not delay requests. True once it is on
-    /// disk; a failure is logged.
+    /// Writes a snapshot on a thread for blocking calls, so that a slow disk does not delay requests. Returns true once it
+    /// is on disk; a failure is logged.
     pub(super) async fn write(&self, snapshot: Snapshot) -> bool {
         let (path, next) = (self.path.clone(), self.next.clone());
         let written = tokio::task::spawn_blocking(move || {
@@ -125,7 +125,7 @@
                 tracing::warn!(%error, "registry snapshot not written");
                 false
             }
-            // The runtime shuts down.
+            // The runtime is shutting down.
             Err(_) => false,
         }
     }
@@ -136,7 +136,7 @@
     Path::new(directory).join("roster.snapshot")
 }
 
-/// The present Unix time, in milliseconds.
+/// The current Unix time, in milliseconds.
 pub(super) fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
--- a/src/daemon/discovery/startup.rs
+++ b/src/daemon/discovery/startup.rs
@@ -1,9 +1,8 @@
-//! When this node calls discovery, where the operators enabled a schedule for the fleet's start: the scheduling core
+//! Schedules this node's calls to discovery when the fleet starts, if the operators enabled it. Connects the scheduler
 //! (`applewall_startup_scheduler`) with the program's clock and datagrams.
 //!
-//! Owner: shared by the watch, which makes the calls, and the peer socket, which receives messages. Input: messages of
-//! peers, how calls ended. Output: the time of the next call, messages for peers, and whether there is an endpoint list.
-//! Invariant: no call begins before its scheduled time.
+//! Shared by the watch, which makes the calls, and the peer socket, which receives messages. No call begins before its
+//! scheduled time.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -24,44 +23,45 @@
 
 /// Nanoseconds in a second.
 const NANOS_PER_SECOND: f64 = 1e9;
-/// Interval between checks of whether the first call may begin, while peers reply: short, because each reply may move it.
-const LISTENING_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The same once the replies are in: few messages can still move the call.
+/// Interval between checks of whether the first call is due while peers reply. Short, because each reply may change the
+/// scheduled time.
+const REPLY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The same interval after the replies have been collected, when few messages can still change the scheduled time.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval between checks of whether a message on the start cohort is due.
+/// Interval between checks of whether a cohort message is due.
 const COHORT_POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// This node's calls in the schedule of the fleet.
+/// Schedule of this node's calls to discovery.
 pub(crate) struct StartupSchedule {
-    /// Locked for one input or question at a time, never across an await.
+    /// Locked for one operation at a time, never across an await.
     core: Mutex<StartupScheduler>,
     clock: Clock,
     peers: Option<Arc<PeerSocket>>,
-    /// True once there is an endpoint list that requests may be decided with.
+    /// True once an endpoint list is known, so that requests can be served.
     has_endpoints: watch::Sender<bool>,
-    /// When the present call began.
+    /// When the current call began.
     call_started_at: Mutex<Timestamp>,
-    /// Whether a message that cannot be decoded was logged.
+    /// Whether an undecodable message was logged.
     undecodable_logged: AtomicBool,
-    /// The dissemination of the start cohort; a new address of discovery starts another one.
+    /// Tasks that disseminate the start cohort; each new address of discovery starts another one.
     dissemination: Mutex<JoinSet<()>>,
 }
 
-/// An answer of discovery that it cannot serve a call.
+/// A response in which discovery rejects a call.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallRejection {
-    /// The answer's `Retry-After`.
+    /// The response's `Retry-After`.
     pub retry_after: Option<TimeSpan>,
 }
 
-/// Locks one of the schedule's mutexes. Nothing panics while it holds one; if something did, the state would be consistent.
+/// Locks a mutex of the schedule. No code panics while it holds one; if one did, the state would still be consistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl StartupSchedule {
-    /// The schedule; none where it is not enabled, and calls are made at once. `revision`: that of the list which an earlier
-    /// process or the configuration left, if any.
+    /// Returns the schedule, or `None` if it is not enabled and calls are made immediately. `revision` is that of the list
+    /// from an earlier process or from the configuration, if any.
     pub(crate) fn new(
         operator: &OperatorConfig,
         config: &PlatformConfig,
@@ -103,13 +103,13 @@
         }))
     }
 
-    /// Publishes to the readiness probe that there is an endpoint list, once there is one.
+    /// Reports to the readiness probe once an endpoint list is known.
     pub(crate) async fn publish_readiness(self: Arc<Self>, published: watch::Sender<bool>) {
         let mut has_endpoints = self.has_endpoints.subscribe();
         if has_endpoints.wait_for(|available| *available).await.is_ok() {
             published.send_replace(true);
         }
-        // A dropped sender would end those who wait for a change.
+        // Dropping the sender would end the tasks that wait for a change.
         published.closed().await;
     }
 
@@ -125,7 +125,7 @@
         *lock(&self.call_started_at) = self.now();
     }
 
-    /// Queries peers for the nodes that start too, and waits for the time of the first call.
+    /// Asks peers which other nodes are starting, and waits for the scheduled time of the first call.
     pub(super) async fn wait_for_first_call(self: &Arc<Self>) {
         if let Some(peers) = &self.peers {
             peers.writable().await;
@@ -135,14 +135,14 @@
             lock(&self.dissemination).spawn(dissemination);
         }
         loop {
-            // Messages of peers move the time of the call, so that it is asked again at short intervals.
+            // Messages of peers change the scheduled time, so it is checked at short intervals.
             let now = self.now();
             let first_call_at = self.core().first_call_at(now);
             if first_call_at <= now {
                 return self.call_started();
             }
             let interval = if self.core().is_collecting_replies(now) {
-                LISTENING_POLL_INTERVAL
+                REPLY_POLL_INTERVAL
             } else {
                 POLL_INTERVAL
             };
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Sends peers which nodes start together with this one, until the fleet's start is over. It goes on after this node's
-    /// first call, because peers derive from it which node calls next.
+    /// Sends cohort messages to peers until the fleet has started. Continues after this node's first call, because peers
+    /// derive from the cohort which node calls next.
     async fn disseminate_cohort(self: Arc<Self>, peers: Arc<PeerSocket>) {
         loop {
             let now = self.now();
@@ -172,14 +172,15 @@
         }
     }
 
-    /// The configuration has another address of discovery. All nodes of the fleet reload at about the same moment, so that
-    /// their calls are scheduled as at a start.
+    /// Reschedules the first call after the configured address of discovery changed. All nodes of the fleet reload at about
+    /// the same time, so their calls are scheduled as at a start.
     pub(super) async fn service_changed(self: &Arc<Self>) {
         self.core().handle(self.now(), Input::ServiceChanged);
         self.wait_for_first_call().await;
     }
 
-    /// Discovery answered; `changed`: with a full list or with changes. Waits for the time of the next call.
+    /// Records that discovery answered a call, and waits for the time of the next one. `changed` is true for a full list
+    /// and for a delta with entries.
     pub(super) async fn call_answered(&self, revision: u64, changed: bool) {
         let now = self.now();
         let answered = Input::CallAnswered { revision, changed };
@@ -191,7 +192,7 @@
         self.wait_for_next_call(now, &output).await;
     }
 
-    /// Discovery rejected the call, or there was no answer. Waits for the time of the next call.
+    /// Records that discovery rejected a call (`rejection`) or did not answer it, and waits for the time of the next one.
     pub(super) async fn call_failed(&self, rejection: Option<CallRejection>) {
         let now = self.now();
         let failure = CallFailure {
@@ -211,14 +212,14 @@
         self.call_started();
     }
 
-    /// How long a call lets discovery wait for changes.
+    /// How long discovery may hold a call until there are changes.
     pub(super) fn watch_wait(&self) -> Duration {
         Duration::from_secs_f64(self.core().watch_duration().as_seconds())
     }
 }
 
 impl DatagramHandler for StartupSchedule {
-    /// True where the datagram is a message on the schedule, also one that cannot be decoded.
+    /// Returns true if the datagram is a startup message, even an undecodable one.
     fn handle(&self, peers: &PeerSocket, from: NodeId, text: &str, sender: SocketAddr) -> bool {
         if !Message::is_startup_message(text) {
             return false;
@@ -229,14 +230,14 @@
             let output = self.core().handle(now, received);
             send(peers, output);
         } else if !self.undecodable_logged.swap(true, Ordering::Relaxed) {
-            // Once a process: a sender of such messages may send any number of them.
+            // Logged once per process, because a sender may send any number of such messages.
             tracing::warn!(%sender, "undecodable startup message dropped");
         }
         true
     }
 }
 
-/// A moment of the engine's clock as the scheduler has it.
+/// Converts a time of the engine's clock to the scheduler's type.
 fn timestamp(nanos: u64) -> Timestamp {
     Timestamp::from_seconds(nanos as f64 / NANOS_PER_SECOND)
 }
--- a/src/daemon/discovery/watch.rs
+++ b/src/daemon/discovery/watch.rs
@@ -1,10 +1,10 @@
-//! Watches discovery's endpoint list: the full list first, then the changes to it, over one connection after the other.
+//! Watches discovery's endpoint list: reads the full list first, then the changes, over one connection at a time.
 //!
-//! Owner: the task that [`follow`] becomes. Input: the address of discovery, which a reload may change, and discovery's
-//! answers. Output: updates of the endpoint list for the engine, or for the merge of registries. Invariants: a list is
-//! replaced by a full list or changed by a delta that follows on its revision; a loss of discovery leaves the list as it was.
+//! [`follow`] runs as a task and sends updates to the engine or to the merge of registries. A reload may change discovery's
+//! address. A full list replaces the list; a delta is applied only to the revision that it is based on. When discovery is
+//! lost, the list stays as it was.
 //!
-//! [`machine`] decides what to do next, [`connection`] makes the calls, [`timing`] has the timeouts and delays.
+//! [`machine`] decides what to do next, [`connection`] makes the calls, [`timing`] defines the timeouts and delays.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,16 +32,16 @@
 use machine::{AvailabilityChange, CallScheduling, WatchAction, WatchInput, WatchMachine};
 use timing::{first_call_window, WatchTiming, SERVICE};
 
-/// What the watch starts from.
+/// Initial state and options of the watch.
 pub(crate) struct WatchStart {
-    /// Revision of the full list that the configuration has. The first call then requests
-    /// the changes since: a fleet that restarts would otherwise fetch one full list for each node.
+    /// Revision of the configuration's full list, if it has one. The first call then requests only the changes since that
+    /// revision; otherwise a restart of the fleet would fetch one full list per node.
     pub revision: Option<u64>,
     /// Seed of the random delays.
     pub seed: u64,
-    /// The startup schedule of the fleet's calls, where the operators enabled it: it replaces this module's delays.
+    /// Startup schedule of the fleet, if the operators enabled it. It replaces the delays of this module.
     pub schedule: Option<Arc<StartupSchedule>>,
-    /// Whether deltas without entries are passed on too: the merge of sources has to know that this one is current.
+    /// Whether to forward deltas without entries too. The merge needs them to know that this source is current.
     pub pass_on_unchanged: bool,
 }
 
@@ -53,7 +53,7 @@
     clock: Clock,
     queue: mpsc::Sender<Message>,
 ) {
-    // Before the delay: the known revision is of this address.
+    // Read before the delay, because the known revision belongs to this address.
     let (mut address, mut revision) = (*discovery.borrow_and_update(), start.revision);
     let mut rng = SmallRng::seed_from_u64(start.seed);
     let watcher = Watcher {
@@ -69,8 +69,7 @@
         .wait_before_first_call(revision.is_some(), &mut rng)
         .await;
     loop {
-        // A new address drops the old one's connection and revision, also in the middle of a call or a delay, the first one
-        // among them.
+        // A new address drops the connection and the revision of the old one, even during a call or a delay.
         tokio::select! {
             biased;
             Ok(()) = discovery.changed() => {}
@@ -84,15 +83,15 @@
     }
 }
 
-/// Whether updates are still received.
+/// State of the receiver of updates.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum ListConsumer {
-    Listening,
-    /// The engine or the merge has ended: the watch ends too.
-    Dropped,
+enum UpdateReceiver {
+    Open,
+    /// The engine or the merge has ended, so the watch ends too.
+    Closed,
 }
 
-/// Carries out the actions of a [`WatchMachine`] and passes the updates on.
+/// Settings and queue of the watch, shared by the watches at successive addresses.
 struct Watcher {
     settings: Arc<PlatformSettings>,
     clock: Clock,
@@ -100,17 +99,17 @@
     pass_on_unchanged: bool,
     schedule: Option<Arc<StartupSchedule>>,
     timing: WatchTiming,
-    /// A loss that was logged and not ended by an answer, whichever address that came from.
+    /// Whether a loss of discovery was logged. Ends with an answer from any address.
     loss: ConditionLog,
 }
 
-/// The watch at one address of discovery.
+/// The watch at one address of discovery: performs the actions of a [`WatchMachine`] and forwards the updates.
 struct AddressWatch<'watcher> {
     watcher: &'watcher Watcher,
     address: SocketAddr,
     machine: WatchMachine,
     connection: Option<WatchConnection>,
-    /// Malformed entries that were logged.
+    /// Rejected entries that were already logged.
     reported: ReportedEntries,
 }
 
@@ -119,7 +118,7 @@
         if let Some(schedule) = &self.schedule {
             schedule.wait_for_first_call().await;
         } else if list_known {
-            // A node that has a list can wait for the nodes that started at the same moment.
+            // A node that already has a list spreads its call among those of nodes that started at the same time.
             let window = first_call_window(
                 self.settings.policy.node_count,
                 Duration::from_nanos(self.settings.drain_notice_ns),
@@ -128,7 +127,7 @@
         }
     }
 
-    /// Watches the list at one address; ends when updates are no longer received.
+    /// Watches the list at one address until the receiver of updates is closed.
     async fn follow_address(&self, address: SocketAddr, revision: Option<u64>, rng: &mut SmallRng) {
         let scheduling = match self.schedule {
             Some(_) => CallScheduling::Fleet,
@@ -148,12 +147,12 @@
             connection: None,
             reported: ReportedEntries::default(),
         };
-        while watch.take_next_action(rng).await == ListConsumer::Listening {}
+        while watch.perform_next_action(rng).await == UpdateReceiver::Open {}
     }
 
     async fn back_off(&self, failure: CallFailure, delay: Duration, rng: &mut SmallRng) {
         let Some(schedule) = &self.schedule else {
-            // Other nodes lost discovery at the same moment.
+            // Jitter, because other nodes lost discovery at the same time.
             return tokio::time::sleep(proportional_jitter(delay, rng)).await;
         };
         let rejection = match failure {
@@ -167,7 +166,7 @@
         schedule.call_failed(rejection).await;
     }
 
-    /// How long a call lets discovery wait for changes.
+    /// How long discovery may hold a call until there are changes.
     fn watch_wait(&self) -> Duration {
         match &self.schedule {
             Some(schedule) => schedule.watch_wait(),
@@ -175,7 +174,7 @@
         }
     }
 
-    /// How much later than its wait an answer may come.
+    /// How long after the end of its wait an answer may arrive.
     fn answer_margin(&self) -> Duration {
         match self.schedule {
             Some(_) => SERVICE.answer_margin,
@@ -183,27 +182,27 @@
         }
     }
 
-    async fn send(&self, kind: EndpointUpdateKind, entries: Vec<EndpointEntry>) -> ListConsumer {
+    async fn send(&self, kind: EndpointUpdateKind, entries: Vec<EndpointEntry>) -> UpdateReceiver {
         let update = Message::EndpointUpdate(EndpointUpdate { kind, entries });
         match self.queue.send(update).await {
-            Ok(()) => ListConsumer::Listening,
-            Err(_) => ListConsumer::Dropped,
+            Ok(()) => UpdateReceiver::Open,
+            Err(_) => UpdateReceiver::Closed,
         }
     }
 }
 
 impl AddressWatch<'_> {
-    async fn take_next_action(&mut self, rng: &mut SmallRng) -> ListConsumer {
-        let answered = match self.machine.next_action() {
+    async fn perform_next_action(&mut self, rng: &mut SmallRng) -> UpdateReceiver {
+        let result = match self.machine.next_action() {
             WatchAction::Connect { timeout } => {
                 self.connect(timeout).await;
-                return ListConsumer::Listening;
+                return UpdateReceiver::Open;
             }
             WatchAction::BackOff { failure, delay } => {
                 self.watcher.back_off(failure, delay, rng).await;
                 self.machine
                     .handle(Instant::now(), WatchInput::DelayElapsed);
-                return ListConsumer::Listening;
+                return UpdateReceiver::Open;
             }
             WatchAction::FirstCall { revision, deadline } => {
                 self.call(revision, Duration::ZERO, deadline).await
@@ -218,11 +217,11 @@
                 self.call(Some(since), wait, deadline).await
             }
         };
-        match answered {
-            Ok(event) => self.event_received(event).await,
+        match result {
+            Ok(event) => self.handle_event(event).await,
             Err(error) => {
-                self.failed(&error);
-                ListConsumer::Listening
+                self.handle_failure(&error);
+                UpdateReceiver::Open
             }
         }
     }
@@ -233,7 +232,7 @@
                 self.connection = Some(connection);
                 self.machine.handle(Instant::now(), WatchInput::Connected);
             }
-            Err(error) => self.failed(&error),
+            Err(error) => self.handle_failure(&error),
         }
     }
 
@@ -249,8 +248,8 @@
         }
     }
 
-    /// Logs a loss once at each address, however many connection attempts it takes until discovery answers again.
-    fn failed(&mut self, error: &WatchError) {
+    /// Logs a loss once at each address, no matter how many connection attempts follow until discovery answers again.
+    fn handle_failure(&mut self, error: &WatchError) {
         self.connection = None;
         let input = WatchInput::Failed(error.failure());
         let change = self.machine.handle(Instant::now(), input);
@@ -260,23 +259,23 @@
         }
     }
 
-    async fn event_received(&mut self, event: WatchEvent) -> ListConsumer {
+    async fn handle_event(&mut self, event: WatchEvent) -> UpdateReceiver {
         let input = WatchInput::EventReceived(&event);
         self.machine.handle(Instant::now(), input);
         let (kind, list) = match event {
             WatchEvent::Snapshot(list) => (EndpointUpdateKind::Snapshot, list),
             WatchEvent::Delta(list) => (EndpointUpdateKind::Delta, list),
-            WatchEvent::RevisionsRestarted => return ListConsumer::Listening,
+            WatchEvent::RevisionsRestarted => return UpdateReceiver::Open,
         };
         if self.watcher.loss.ends() {
             let revision = list.revision;
             tracing::info!(address = %self.address, revision, "endpoint list watch recovered");
         }
-        self.pass_on(kind, &list).await
+        self.forward(kind, &list).await
     }
 
-    /// Sends the update, and with a schedule waits for the time of the next call.
-    async fn pass_on(&mut self, kind: EndpointUpdateKind, list: &EndpointList) -> ListConsumer {
+    /// Sends the update. With a startup schedule, also waits for the time of the next call.
+    async fn forward(&mut self, kind: EndpointUpdateKind, list: &EndpointList) -> UpdateReceiver {
         let watcher = self.watcher;
         let changed = list.complete || !list.targets.is_empty();
         if changed || watcher.pass_on_unchanged {
@@ -285,14 +284,14 @@
                 &watcher.settings,
                 &watcher.clock,
             );
-            if watcher.send(kind, entries).await == ListConsumer::Dropped {
-                return ListConsumer::Dropped;
+            if watcher.send(kind, entries).await == UpdateReceiver::Closed {
+                return UpdateReceiver::Closed;
             }
         }
         if let Some(schedule) = &watcher.schedule {
             schedule.call_answered(list.revision, changed).await;
         }
-        ListConsumer::Listening
+        UpdateReceiver::Open
     }
 }
 
--- a/src/daemon/discovery/watch/connection.rs
+++ b/src/daemon/discovery/watch/connection.rs
@@ -1,7 +1,5 @@
-//! One HTTP connection to discovery: a call for the endpoint list or for changes to it, and its answer as a typed event.
-//!
-//! Owner: the watch, which has one connection at a time. Input: the known revision, and how long discovery may wait for
-//! changes. Output: a [`WatchEvent`], or the [`WatchError`] that ends the connection.
+//! HTTP connection to discovery, used by the watch for one call at a time. A call requests the endpoint list, or the changes
+//! since a known revision; its answer is a [`WatchEvent`]. A [`WatchError`] ends the connection.
 
 use std::error::Error;
 use std::io;
@@ -20,7 +18,7 @@
 use crate::discovery::endpoint_list::EndpointList;
 use crate::upstream::connection::drive;
 
-/// Maximum size of an answer's body: bounds the memory that a discovery which sends without end can claim.
+/// Maximum size of an answer's body. Bounds memory use if discovery sends an endless body.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 /// Path at which discovery serves the endpoint list.
 const LIST_PATH: &str = "/v1/servers";
@@ -32,51 +30,51 @@
     Snapshot(EndpointList),
     /// The changes since the known revision; possibly none.
     Delta(EndpointList),
-    /// Discovery answered with a revision below the known one: it counts its revisions from the start again, and changes
-    /// since the known revision are not changes to the list that this node has.
+    /// Discovery answered with a revision below the known one. It has restarted its revisions, so its changes do not apply
+    /// to the list that this node has.
     RevisionsRestarted,
 }
 
-/// What follows from a failed call for discovery's state, by which the watch chooses its retry.
+/// Kind of failure of a call, which determines the retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CallFailure {
-    /// Discovery is reachable and did not answer in time. The known revision still holds.
+    /// No connection or no answer in time. The known revision stays valid.
     TimedOut,
-    /// Discovery answered that it cannot serve the call. The known revision still holds.
+    /// Discovery rejected the call. The known revision stays valid.
     Rejected {
-        /// Its `Retry-After`, s.
+        /// The answer's `Retry-After`, in seconds.
         retry_after_seconds: Option<f64>,
     },
-    /// Discovery could not be reached, the connection broke, or the answer is not one to this call. Another discovery, with
-    /// other revisions, may answer next.
+    /// Discovery could not be reached, the connection broke, or the answer was invalid. The next answer may come from a
+    /// discovery instance with other revisions.
     ConnectionLost,
 }
 
-/// Why a call to discovery failed, for the log.
+/// Error of a connection attempt or a call to discovery.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WatchError {
-    /// No connection, or no answer, in time.
+    /// No connection or no answer in time.
     #[error("no answer in time")]
     TimedOut,
-    /// An answer with another status than 200.
+    /// The answer's status is not 200.
     #[error("status {status}")]
     Rejected {
         /// The answer's status.
         status: StatusCode,
-        /// Its `Retry-After`, s.
+        /// The answer's `Retry-After`, in seconds.
         retry_after_seconds: Option<f64>,
     },
-    /// The address cannot be connected to.
+    /// The connection could not be established.
     #[error("cannot connect: {0}")]
     Connect(#[from] io::Error),
-    /// The connection broke, or what came over it is not HTTP.
+    /// The connection broke, or the peer did not send valid HTTP.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// The call cannot be written as an HTTP request.
-    #[error("call cannot be written: {0}")]
+    /// The HTTP request for the call could not be built.
+    #[error("cannot build request: {0}")]
     Request(#[from] hyper::http::Error),
     /// The answer's body is incomplete, or larger than [`MAX_LIST_BYTES`].
-    #[error("answer's body cannot be read: {0}")]
+    #[error("cannot read body of answer: {0}")]
     Body(Box<dyn Error + Send + Sync>),
     /// The answer's body is not an endpoint list.
     #[error("answer is not an endpoint list: {0}")]
@@ -84,8 +82,8 @@
     /// Discovery closed the connection before it answered.
     #[error("connection closed before an answer")]
     Closed,
-    /// Discovery answered a call for the full list with changes.
-    #[error("answer has changes at revision {revision}, expected the full list")]
+    /// Discovery answered a call for the full list with a delta.
+    #[error("answer is a delta at revision {revision}, expected the full list")]
     NotSnapshot {
         /// The answer's revision.
         revision: u64,
@@ -93,7 +91,7 @@
 }
 
 impl WatchError {
-    /// What the watch makes of it.
+    /// The kind of failure, which determines the retry.
     pub(super) fn failure(&self) -> CallFailure {
         match self {
             WatchError::TimedOut => CallFailure::TimedOut,
@@ -114,7 +112,7 @@
     }
 }
 
-/// A connection to discovery. Dropping it closes it.
+/// A connection to discovery, closed when dropped.
 pub(super) struct WatchConnection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
@@ -122,7 +120,7 @@
 }
 
 impl WatchConnection {
-    /// Connects.
+    /// Connects to discovery.
     pub(super) async fn open(
         address: SocketAddr,
         connect_timeout: Duration,
@@ -130,7 +128,7 @@
         let stream = timeout(connect_timeout, TcpStream::connect(address))
             .await
             .map_err(|_| WatchError::TimedOut)??;
-        // Without it a call may be sent some ms later, and works otherwise.
+        // On failure, calls may be sent some milliseconds later but still work.
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         Ok(WatchConnection {
@@ -140,7 +138,7 @@
         })
     }
 
-    /// Calls for the full list, or for the changes since a revision, for which discovery may wait.
+    /// Requests the full list, or the changes since `revision`, for which discovery may wait up to `wait`.
     pub(super) async fn call(
         &mut self,
         revision: Option<u64>,
@@ -153,11 +151,11 @@
                 format!("{LIST_PATH}?after={revision}&wait_ms={}", wait.as_millis())
             }
         };
-        let exchange = exchange(&mut self.sender, self.address, path);
-        let answered = timeout_at(deadline, drive(&mut self.connection, exchange, || false))
+        let exchange = send_request(&mut self.sender, self.address, path);
+        let result = timeout_at(deadline, drive(&mut self.connection, exchange, || false))
             .await
             .map_err(|_| WatchError::TimedOut)?;
-        let response = answered.ok_or(WatchError::Closed)??;
+        let response = result.ok_or(WatchError::Closed)??;
         let status = response.status();
         if status != StatusCode::OK {
             return Err(WatchError::Rejected {
@@ -165,12 +163,12 @@
                 retry_after_seconds: retry_after_seconds(&response),
             });
         }
-        event(revision, serde_json::from_slice(response.body())?)
+        classify_answer(revision, serde_json::from_slice(response.body())?)
     }
 }
 
-/// Sends one call and reads its answer to the end.
-async fn exchange(
+/// Sends a request and reads the complete response.
+async fn send_request(
     sender: &mut SendRequest<Full<Bytes>>,
     address: SocketAddr,
     path: String,
@@ -190,14 +188,14 @@
     Ok(Response::from_parts(head, body.to_bytes()))
 }
 
-/// The answer's `Retry-After` in seconds; none where it is missing or a date.
+/// The response's `Retry-After` in seconds; `None` if it is missing or a date.
 fn retry_after_seconds(response: &Response<Bytes>) -> Option<f64> {
     let value = response.headers().get(RETRY_AFTER)?;
     value.to_str().ok()?.parse().ok()
 }
 
-/// The event that an answer to a call with this known revision is.
-fn event(revision: Option<u64>, list: EndpointList) -> Result<WatchEvent, WatchError> {
+/// Converts the answer to a call with the known revision `revision` to an event.
+fn classify_answer(revision: Option<u64>, list: EndpointList) -> Result<WatchEvent, WatchError> {
     match revision {
         _ if list.complete => Ok(WatchEvent::Snapshot(list)),
         None => Err(WatchError::NotSnapshot {
--- a/src/daemon/discovery/watch/connection/tests.rs
+++ b/src/daemon/discovery/watch/connection/tests.rs
@@ -1,4 +1,4 @@
-//! Answers of discovery as events, and what a failed call says about it.
+//! Conversion of discovery's answers to events, and of errors to kinds of failure.
 
 use super::*;
 
@@ -13,7 +13,7 @@
 #[test]
 fn full_list_is_a_snapshot_whatever_revision_is_known() {
     for known in [None, Some(1), Some(9)] {
-        let event = event(known, list(5, true));
+        let event = classify_answer(known, list(5, true));
         assert!(matches!(event, Ok(WatchEvent::Snapshot(list)) if list.revision == 5));
     }
 }
@@ -21,20 +21,20 @@
 #[test]
 fn changes_that_follow_on_the_known_revision_are_a_delta() {
     for known in [4, 5] {
-        let event = event(Some(known), list(5, false));
+        let event = classify_answer(Some(known), list(5, false));
         assert!(matches!(event, Ok(WatchEvent::Delta(list)) if list.revision == 5));
     }
 }
 
 #[test]
 fn lower_revision_shows_that_discovery_restarted_its_revisions() {
-    let event = event(Some(6), list(5, false));
+    let event = classify_answer(Some(6), list(5, false));
     assert!(matches!(event, Ok(WatchEvent::RevisionsRestarted)));
 }
 
 #[test]
 fn changes_to_an_unknown_list_break_the_connection() {
-    let error = event(None, list(5, false)).unwrap_err();
+    let error = classify_answer(None, list(5, false)).unwrap_err();
     assert!(matches!(error, WatchError::NotSnapshot { revision: 5 }));
     assert_eq!(error.failure(), CallFailure::ConnectionLost);
 }
--- a/src/daemon/discovery/watch/machine.rs
+++ b/src/daemon/discovery/watch/machine.rs
@@ -12,9 +12,9 @@
 //!   DelayElapsed
 //! ```
 //!
-//! Input: what happened to the connection and its calls. Output: whether discovery was lost or recovered, and the next
-//! action. Invariants: the known revision is that of the last list or delta; without a schedule of the fleet, a connection
-//! that breaks drops it, because a discovery with revisions of its own may answer next.
+//! Inputs are events of the connection and its calls; outputs are the next action, and whether discovery was lost or
+//! recovered. The known revision is that of the last list or delta. Without a startup schedule, a broken connection drops
+//! it, because the next answer may come from a discovery instance with other revisions.
 
 use std::time::Duration;
 
@@ -23,35 +23,35 @@
 use super::connection::{CallFailure, WatchEvent};
 use super::timing::{WatchTiming, SERVICE};
 
-/// Who decides when calls are made.
+/// What determines when calls are made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallScheduling {
     /// This node alone, by its [`WatchTiming`].
     PerNode,
-    /// The startup schedule of the fleet. The first call of a connection has no timeout of its own, and a broken connection
-    /// leaves the known revision: a full list after each break is the load that the schedule avoids. A discovery that counts
-    /// its revisions from the start again shows in a lower one.
+    /// The startup schedule of the fleet. The first call of a connection has no timeout of its own. A broken connection
+    /// keeps the known revision, because a full list after each break is the load that the schedule avoids; a discovery
+    /// that restarted its revisions is detected by a lower one.
     Fleet,
 }
 
-/// What the watch is doing.
+/// State of the watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum WatchState {
     /// A connection is being established.
     Connecting {
-        /// How long that may take.
+        /// Timeout of the connection attempt.
         timeout: Duration,
-        /// When the first call has to be answered, where it has a timeout of its own.
+        /// Deadline of the first call's answer, if that call has a timeout of its own.
         first_call_deadline: Option<Instant>,
     },
-    /// The first call on a connection. It requests an immediate answer, as a proof that discovery answers, before a call
+    /// The first call on a connection. It requests an immediate answer, to verify that discovery responds before a call
     /// waits for changes.
     FirstCall {
-        /// When its answer is due.
+        /// Deadline of the answer.
         deadline: Instant,
     },
-    /// Calls on a connection, each right after the last one's answer: for the full list where no revision is known, else
-    /// for the changes since that revision.
+    /// Calls on a connection, each made right after the answer to the previous one: for the full list if no revision is
+    /// known, otherwise for the changes since that revision.
     Following,
     /// Discovery is lost; a connection attempt follows after a delay.
     BackingOff {
@@ -62,7 +62,7 @@
     },
 }
 
-/// What happened.
+/// Input of the state machine.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum WatchInput<'event> {
     /// The connection is established.
@@ -75,24 +75,24 @@
     DelayElapsed,
 }
 
-/// What to do next.
+/// Next action of the watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum WatchAction {
     /// Establish a connection.
     Connect {
-        /// How long that may take.
+        /// Timeout of the connection attempt.
         timeout: Duration,
     },
-    /// Request an immediate answer: what changed since the known revision, or the full list where none is known.
+    /// Request an immediate answer: the changes since the known revision, or the full list if no revision is known.
     FirstCall {
         /// The known revision.
         revision: Option<u64>,
-        /// When the answer is due.
+        /// Deadline of the answer.
         deadline: Instant,
     },
     /// Request the full list.
     ReadList,
-    /// Request the changes since a revision, for which discovery waits until there are some.
+    /// Request the changes since a revision; discovery holds the call until there are some.
     AwaitChanges {
         /// The known revision.
         since: u64,
@@ -101,15 +101,15 @@
     BackOff {
         /// How the last call failed.
         failure: CallFailure,
-        /// How long, before jitter.
+        /// The delay, before jitter.
         delay: Duration,
     },
 }
 
-/// A change of whether discovery answers.
+/// Change of discovery's availability.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AvailabilityChange {
-    /// A call failed while discovery counted as available.
+    /// A connection attempt or call failed while discovery counted as available.
     Lost,
     /// A list or delta was received after a loss.
     Recovered,
@@ -122,16 +122,16 @@
     scheduling: CallScheduling,
     node_count: u32,
     state: WatchState,
-    /// Revision of the list that was passed on; none where the full list is needed.
+    /// Revision of the list that was forwarded last; `None` if the full list is needed.
     revision: Option<u64>,
-    /// Since when discovery has been lost.
+    /// Time at which discovery was lost, if it is.
     lost_since: Option<Instant>,
-    /// Connection attempts that failed since the loss.
+    /// Number of failures since the loss.
     retries: u32,
 }
 
 impl WatchMachine {
-    /// Begins with a connection attempt. `revision`: that of the list that is in use already, if discovery at this address
+    /// Starts with a connection attempt. `revision` is that of the list already in use, if discovery at this address
     /// reported it.
     pub(super) fn new(
         now: Instant,
@@ -153,7 +153,7 @@
         machine
     }
 
-    /// What to do in the present state.
+    /// Returns the action for the current state.
     pub(super) fn next_action(&self) -> WatchAction {
         match (self.state, self.revision) {
             (WatchState::Connecting { timeout, .. }, _) => WatchAction::Connect { timeout },
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Takes an input; returns whether discovery was lost or recovered by it.
+    /// Applies an input; returns whether discovery was lost or recovered.
     pub(super) fn handle(
         &mut self,
         now: Instant,
--- a/src/daemon/discovery/watch/machine/tests.rs
+++ b/src/daemon/discovery/watch/machine/tests.rs
@@ -1,4 +1,4 @@
-//! Transitions of the watch: connections, calls, failures and what each of them leaves known.
+//! Transitions of the watch: connections, calls, failures, and the known revision after each.
 
 use super::super::timing::AGENT;
 use super::*;
--- a/src/daemon/discovery/watch/tests.rs
+++ b/src/daemon/discovery/watch/tests.rs
@@ -1,16 +1,16 @@
-//! Timeouts and retry delays of the watch against the deadlines of a drain, and against the load of a fleet.
+//! Checks the watch's timeouts and retry delays against the deadlines of a drain and the load that a fleet causes.
 
 use tokio::io::AsyncReadExt;
 
 use super::timing::AGENT;
 use super::*;
 
-/// The platform counts a change as reported this long after the watch that misses it fell silent.
+/// The platform counts a change as reported this long after the agent stopped answering.
 const REPORTED_AFTER_SILENCE: Duration = Duration::from_secs(6);
-/// The same, from the end of the wait that the call asked for.
+/// The same, counted from the end of the wait that the call requested.
 const REPORTED_AFTER_WAIT: Duration = Duration::from_secs(2);
-/// From then on a node has this long to stop sending to an endpoint that drains; attempts that are being written need
-/// almost none of it.
+/// Time after the report within which a node has to stop sending to a draining endpoint. Attempts that are being written
+/// take almost none of it.
 const DRAIN_NOTICE: Duration = Duration::from_millis(500);
 /// Largest factor of the jitter on a retry delay.
 const MAX_JITTER: f64 = 1.5;
@@ -21,7 +21,7 @@
     retry_after_seconds: None,
 };
 
-/// The longest delay that jitter makes of a retry delay.
+/// Upper bound of a retry delay with jitter.
 fn longest_delay(timing: WatchTiming, fleet: u32, failure: CallFailure, retries: u32) -> Duration {
     timing
         .retry_delay(fleet, failure, retries)
@@ -31,7 +31,7 @@
 #[test]
 fn first_call_leaves_time_to_respect_a_drain_however_large_the_fleet() {
     for (fleet, window_ms) in [(2, 20), (3, 25), (300, 25), (10_000, 25)] {
-        // A twentieth of the notice; a slow start, the answer and connections being established have the rest.
+        // At most 1/20 of the notice; the rest is for a slow start, the answer and connections being established.
         assert_eq!(
             first_call_window(fleet, DRAIN_NOTICE),
             Duration::from_millis(window_ms),
@@ -48,13 +48,13 @@
         ..
     } = AGENT;
     let call = AGENT.first_call_timeout(Duration::ZERO).unwrap();
-    // Silent from the moment of the call, or from just before its answer: noticed by then in both cases.
-    let noticed = watch_wait + answer_margin;
+    // The agent falls silent at the time of the call or just before its answer; both are detected by this time.
+    let detected = watch_wait + answer_margin;
     let reported = REPORTED_AFTER_SILENCE.max(watch_wait + REPORTED_AFTER_WAIT);
-    // The delay after it, two further calls without an answer, and one that is answered at its deadline.
-    let answered = noticed + longest_delay(AGENT, 300, TIMED_OUT, 0) + 3 * call;
+    // The retry delay, two further calls without an answer, and one that is answered at its deadline.
+    let answered = detected + longest_delay(AGENT, 300, TIMED_OUT, 0) + 3 * call;
     assert!(answered < reported, "{answered:?} of {reported:?}");
-    // Silent from right before the end of its wait, where the wait itself is what counts.
+    // The agent falls silent just before the end of the wait, so the limit counts from the end of the wait.
     let answered = answer_margin + 3 * call;
     assert!(
         answered < REPORTED_AFTER_WAIT,
@@ -66,14 +66,14 @@
 fn agent_that_answers_again_is_called_while_a_drain_can_be_respected() {
     for fleet in [3, 300, 10_000] {
         for retries in 0..20 {
-            // Silent for 8 s, and answering again just after a call began.
+            // The agent was silent for 8 s and answers again just after a call began.
             let call = AGENT.first_call_timeout(Duration::from_secs(8)).unwrap();
             let delay = longest_delay(AGENT, fleet, TIMED_OUT, retries);
             assert!(
                 delay + call <= DRAIN_NOTICE * 3 / 5,
                 "{delay:?} and {call:?}, {fleet} nodes, {retries} retries"
             );
-            // Refused, and accepting just after that.
+            // The agent refused a connection and accepts connections just after that.
             let delay = longest_delay(AGENT, fleet, CONNECTION_LOST, retries);
             assert!(
                 delay <= DRAIN_NOTICE / 2,
@@ -86,7 +86,7 @@
             "the first retry is immediate"
         );
     }
-    // An agent that refuses connections is not called without a delay.
+    // From the second retry on, connections are not attempted without a delay.
     assert!(AGENT.retry_delay(3, CONNECTION_LOST, 1) >= Duration::from_millis(25));
 }
 
@@ -133,7 +133,7 @@
         );
         for fleet in [13, 30, 100, 1000] {
             let (first, longest) = first_and_longest(fleet);
-            // Calls of all nodes together: right after a loss, and while it lasts.
+            // Calls per second of all nodes together, right after a loss and while it lasts.
             let calls_per_second = |delay: Duration| f64::from(fleet) / delay.as_secs_f64();
             assert!(
                 calls_per_second(first) <= 50.1 && calls_per_second(longest) <= 12.6,
@@ -143,7 +143,7 @@
     }
 }
 
-/// The head of the first request on the next connection.
+/// Reads the head of the first request on the next connection.
 async fn first_request(listener: &tokio::net::TcpListener) -> String {
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let mut head = Vec::new();
@@ -154,8 +154,8 @@
     String::from_utf8(head).expect("text")
 }
 
-/// Guards against a call that asks one discovery for the changes since a revision of another: it would answer with changes
-/// to a list that this node does not have.
+/// Guards against requesting, from a new address of discovery, the changes since a revision of the old one: they would
+/// apply to a list that this node does not have.
 #[tokio::test]
 async fn address_that_changes_before_the_first_call_is_asked_for_the_full_list() {
     for changes in [false, true] {
@@ -171,7 +171,7 @@
         };
         let settings = crate::config::platform::PlatformConfig::sample().settings;
         let watching = tokio::spawn(follow(followed, start, settings, Clock::start(), queue));
-        // It waits before its first call now.
+        // The watch now waits before its first call.
         tokio::task::yield_now().await;
         let asked = if changes {
             address.send_replace(new.local_addr().unwrap());
--- a/src/daemon/discovery/watch/timing.rs
+++ b/src/daemon/discovery/watch/timing.rs
@@ -1,8 +1,7 @@
 //! Timeouts and retry delays of the endpoint list watch, without I/O and without a clock.
 //!
-//! Input: the platform's settings, the number of nodes, how the last call failed. Output: durations. Invariant: a drain
-//! that discovery reported, or would have reported while it was silent, is learned in time to be respected (see
-//! [`AGENT`]).
+//! They are chosen so that the node learns of a drain in time to respect it, even if discovery was silent when the drain
+//! began (see [`AGENT`]).
 
 use std::time::Duration;
 
@@ -12,11 +11,11 @@
 
 /// Timing for lists that are pushed to an agent on this machine.
 ///
-/// Calls to a local agent cost the fleet nothing, so its retries are short. They have to be: the platform counts a drain as
-/// reported once the agent has it, and 6 s after the agent fell silent in any case; from there a node has 0.5 s to stop
-/// sending to the endpoint. A silent agent is noticed after `watch_wait + answer_margin` = 3.5 s; each retry then takes
-/// `first_call_timeout` = 0.3 s and follows on the last one without a delay, which leaves time for eight of them before
-/// 6.5 s. An agent that answers again is called within 0.3 s.
+/// Calls to a local agent cause no load for the fleet, so retries can be fast. They also have to be: the platform counts a
+/// drain as reported once the agent has it, and at the latest 6 s after the agent fell silent; from then on a node has 0.5 s
+/// to stop sending to the endpoint. A silent agent is detected after `watch_wait + answer_margin` = 3.5 s. Each retry then
+/// takes `first_call_timeout` = 0.3 s and follows the previous one without delay, which allows eight retries before 6.5 s.
+/// An agent that answers again is called within 0.3 s.
 pub(super) const AGENT: WatchTiming = WatchTiming {
     watch_wait: Duration::from_secs(3),
     answer_margin: Duration::from_millis(500),
@@ -27,10 +26,10 @@
     }),
 };
 
-/// Timing for lists that nodes subscribe to at one discovery service.
+/// Timing for lists that nodes watch at a shared discovery service.
 ///
-/// All nodes of the fleet call the same service, and one that is overloaded stays so while all of them retry at once: the
-/// retry delays grow with the number of nodes.
+/// All nodes of the fleet call the same service, which would stay overloaded if all of them retried at once. The retry
+/// delays therefore grow with the number of nodes.
 pub(super) const SERVICE: WatchTiming = WatchTiming {
     watch_wait: Duration::from_secs(5),
     answer_margin: Duration::from_secs(2),
@@ -38,40 +37,40 @@
     retry_policy: RetryPolicy::SharedService,
 };
 
-/// Retry delays of a shared service for each node of the fleet: together the nodes retry 50 times a second at first, and
-/// 12.5 times a second while the failure lasts.
+/// Retry delays at a shared service, per node of the fleet. Together the nodes retry 50 times per second at first, and
+/// 12.5 times per second once the delay has reached its maximum.
 const SERVICE_BACKOFF_PER_NODE: Backoff = Backoff {
     initial: Duration::from_millis(20),
     max: Duration::from_millis(80),
 };
 
-/// Lower bound of the retry delays of a shared service. With fewer than 13 nodes the delays per node would be shorter than
-/// a service needs to recover.
+/// Lower bound of the retry delays at a shared service. With fewer than 13 nodes, the delays per node would be shorter than
+/// the time that a service needs to recover.
 const MIN_SERVICE_BACKOFF: Backoff = Backoff {
     initial: Duration::from_millis(50),
     max: Duration::from_secs(1),
 };
 
-/// Upper bound of the delay after a shared service did not answer in time, whatever the number of nodes: the call has
-/// lasted for seconds, and the calls of the fleet with it.
+/// Upper bound of the delay after a timeout at a shared service, for any number of nodes. The timed-out calls lasted for
+/// seconds, which already limits the fleet's call rate.
 const MAX_DELAY_AFTER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The timeout of a connection's first call grows to the time since the loss divided by this, so that an agent that is slow
-/// rather than silent is given enough time in the end.
+/// The timeout of a connection's first call grows to the time since the loss divided by this number, so that a slow agent
+/// eventually gets enough time to answer.
 const FIRST_CALL_TIMEOUT_DIVISOR: u32 = 40;
 
-/// The first calls of a fleet that starts at once are distributed over this much time for each node.
+/// Time per node over which the first calls of a fleet that starts at once are distributed.
 const FIRST_CALL_WINDOW_PER_NODE: Duration = Duration::from_millis(10);
 
-/// The window of the first calls is at most the drain notice divided by this. Drains that the list has at the process's
-/// start count as reported from then on: a node that calls later than that sends to endpoints that have drained.
+/// The window of the first calls is at most the drain notice divided by this number. Drains that are in the list when the
+/// process starts count as reported from then on; a node that calls too late would still send to drained endpoints.
 const FIRST_CALL_WINDOW_DIVISOR: u32 = 20;
 
-/// Which delays follow on a failed call.
+/// How the delay after a failed call is determined.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum RetryPolicy {
-    /// An agent on this machine: the first retry is immediate, and so is each one after a timeout. Further ones follow
-    /// this backoff.
+    /// An agent on this machine: the first retry and each retry after a timeout are immediate; the others follow this
+    /// backoff.
     LocalAgent(Backoff),
     /// One service for all nodes: each retry has a delay that grows with the number of nodes.
     SharedService,
@@ -80,20 +79,20 @@
 /// Timeouts and retry delays of the watch.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WatchTiming {
-    /// How long a call lets discovery wait for changes.
+    /// How long discovery may hold a call until there are changes.
     pub watch_wait: Duration,
-    /// How much later than `watch_wait` the answer may come.
+    /// How long after `watch_wait` the answer may arrive.
     pub answer_margin: Duration,
-    /// Timeout of the first call on a connection, the connect included; that call requests an immediate answer. None: the
-    /// first call is like any other.
+    /// Timeout of the first call on a connection, including the connect; that call requests an immediate answer. `None` if
+    /// the first call is like any other.
     pub first_call_timeout: Option<Duration>,
     /// Delays after a failed call, before jitter.
     pub retry_policy: RetryPolicy,
 }
 
 impl WatchTiming {
-    /// The timing by the platform's settings: `subscribes` is true where the node watches the list at a service,
-    /// and false where the list is pushed to an agent.
+    /// The timing for the platform's settings: `subscribes` is true if the node watches the list at a service, and false if
+    /// the list is pushed to an agent.
     pub(super) fn for_subscription(subscribes: bool) -> Self {
         if subscribes {
             SERVICE
@@ -102,8 +101,8 @@
         }
     }
 
-    /// The delay before the next connection attempt, before jitter. `retries`: connection attempts that failed since the
-    /// loss, this one not counted.
+    /// The delay before the next connection attempt, before jitter. `retries` is the number of earlier failures since the
+    /// loss.
     pub(super) fn retry_delay(
         &self,
         node_count: u32,
@@ -111,7 +110,7 @@
         retries: u32,
     ) -> Duration {
         match (self.retry_policy, failure) {
-            // An agent that rejects a call speaks for the service behind it, which other nodes call too.
+            // An agent rejects calls on behalf of the service behind it, which other nodes call too.
             (_, CallFailure::Rejected { .. })
             | (RetryPolicy::SharedService, CallFailure::ConnectionLost) => {
                 service_backoff(node_count).delay(retries)
@@ -119,7 +118,7 @@
             (RetryPolicy::SharedService, CallFailure::TimedOut) => service_backoff(node_count)
                 .delay(retries)
                 .min(MAX_DELAY_AFTER_TIMEOUT),
-            // The call itself has taken its timeout.
+            // No delay, because the call has already lasted for its timeout.
             (RetryPolicy::LocalAgent(_), CallFailure::TimedOut) => Duration::ZERO,
             (RetryPolicy::LocalAgent(backoff), CallFailure::ConnectionLost) => retries
                 .checked_sub(1)
@@ -127,7 +126,7 @@
         }
     }
 
-    /// Timeout of the first call on a connection, where discovery has been lost for this long.
+    /// Timeout of the first call on a connection after discovery has been lost for `lost_for`.
     pub(super) fn first_call_timeout(&self, lost_for: Duration) -> Option<Duration> {
         self.first_call_timeout.map(|min_timeout| {
             (lost_for / FIRST_CALL_TIMEOUT_DIVISOR).clamp(min_timeout, SERVICE.answer_margin)
@@ -143,7 +142,7 @@
     }
 }
 
-/// The time over which the first calls of a fleet are distributed, where endpoints announce a drain `drain_notice` ahead.
+/// The time over which the first calls of a fleet are distributed, given how long ahead endpoints announce a drain.
 pub(super) fn first_call_window(node_count: u32, drain_notice: Duration) -> Duration {
     (FIRST_CALL_WINDOW_PER_NODE * node_count).min(drain_notice / FIRST_CALL_WINDOW_DIVISOR)
 }
--- a/src/daemon/discovery/zone_failover.rs
+++ b/src/daemon/discovery/zone_failover.rs
@@ -1,8 +1,7 @@
-//! Which share of its usual traffic each zone gets, where the operators enabled zone failover: the core
-//! (`applewall_zone_failover`) with the engine's attempts, clock and datagrams.
+//! Zone failover: determines which share of its usual traffic each zone receives, if the operators enabled it. Connects the
+//! failover core (`applewall_zone_failover`) with the engine's attempts, clock and datagrams.
 //!
-//! Owner: the engine. Input: updates of the endpoint list, attempts and their outcomes, datagrams of peers, time. Output: the
-//! zones' shares where they change, datagrams for peers. Invariant: an attempt is at most one failing observation.
+//! Owned by the engine. Each attempt counts as at most one failing observation.
 
 use std::collections::HashMap;
 
@@ -20,14 +19,14 @@
 
 use placements::EndpointPlacements;
 
-/// Interval between evaluations of the zones: the resolution of the core's decisions.
+/// Interval between evaluations of the zones, which is the time resolution of the core's decisions.
 pub(crate) const EVALUATION_INTERVAL_NS: u64 = 100_000_000;
 /// Nanoseconds in a second.
 const NANOS_PER_SECOND: f64 = 1e9;
 /// Fraction of the latency objective after which an attempt without a response counts as failing. Below 1, so that a silent
 /// zone is detected before its requests miss the objective.
 const OVERDUE_FRACTION: f64 = 0.75;
-/// Minimum number of zones: with fewer there is none to move traffic to.
+/// Minimum number of zones; with fewer there is no zone to move traffic to.
 const MIN_ZONES: usize = 2;
 
 /// An attempt in flight.
@@ -36,25 +35,25 @@
     endpoint: EndpointNumber,
     started_at_ns: u64,
     latency_objective_ns: u64,
-    /// Whether it was observed as failing because it is overdue.
+    /// Whether the attempt was overdue and has been reported as failing.
     overdue: bool,
 }
 
-/// Zone failover of this node.
+/// Zone failover on this node.
 pub(crate) struct ZoneFailover {
     core: zone_failover::ZoneFailover,
     placements: EndpointPlacements,
     in_flight: HashMap<RequestId, InFlightAttempt>,
-    /// By priority class.
+    /// Indexed by priority class.
     latency_objectives_ns: Vec<u64>,
-    /// The zones' shares that the decision policy has, by its number of the zone.
+    /// Shares last passed to the decision policy, indexed by its zone numbers.
     shares: Vec<f64>,
-    /// Whether a message that cannot be decoded was logged.
+    /// Whether an undecodable message was logged.
     undecodable_logged: bool,
 }
 
 impl ZoneFailover {
-    /// Zone failover; none where it is not enabled, or there is no other zone.
+    /// Returns `None` if zone failover is not enabled, or if there are fewer than [`MIN_ZONES`] zones.
     pub(crate) fn new(
         failover: &Settings,
         settings: &PlatformSettings,
@@ -115,7 +114,7 @@
             .handle(timestamp(now_ns), Input::EndpointsListed(listed));
     }
 
-    /// An attempt starts.
+    /// Records the start of an attempt.
     pub(crate) fn attempt_started(
         &mut self,
         now_ns: u64,
@@ -139,7 +138,7 @@
         );
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt.
     pub(crate) fn attempt_ended(&mut self, now_ns: u64, request: RequestId, outcome: Outcome) {
         let Some(attempt) = self.in_flight.remove(&request) else {
             return;
@@ -148,13 +147,13 @@
         let late = latency_ns > attempt.latency_objective_ns;
         let observation = match outcome {
             Outcome::Success if !late => Observation::Good,
-            // An overdue attempt was observed as failing already.
+            // An overdue attempt has already been reported as failing.
             Outcome::Success if !attempt.overdue => Observation::Failing,
             Outcome::Failure => Observation::Failing,
             Outcome::ConnectFailed | Outcome::ConnectionReset => Observation::Dead,
             Outcome::TimedOut if !attempt.overdue => Observation::Failing,
-            // An overloaded endpoint is alive, and the load ladder reacts to its load. All other outcomes are caused by this
-            // node.
+            // An overloaded endpoint is alive, and the load ladder reacts to the overload. All other outcomes are caused by
+            // this node.
             _ => return,
         };
         let observed = Input::AttemptObserved {
@@ -166,7 +165,7 @@
         self.core.handle(timestamp(now_ns), observed);
     }
 
-    /// Handles a peer's datagram; true where it is a message on zones, and not one for the decision policy.
+    /// Handles a peer's datagram. Returns true if it is a zone message, false if it is for the decision policy.
     pub(crate) fn receive(&mut self, now_ns: u64, from: NodeId, text: &str) -> bool {
         if !ZoneMessage::matches(text) {
             return false;
@@ -177,7 +176,7 @@
                 self.core.handle(timestamp(now_ns), received);
             }
             Err(_) => {
-                // Once a process: a sender of such messages may send any number of them.
+                // Logged once per process, because a sender may send any number of such messages.
                 if !std::mem::replace(&mut self.undecodable_logged, true) {
                     tracing::warn!(peer = %from, "undecodable zone message dropped");
                 }
@@ -186,8 +185,8 @@
         true
     }
 
-    /// Evaluates the zones, each [`EVALUATION_INTERVAL_NS`]; returns their shares, by the decision policy's numbers, where
-    /// these changed.
+    /// Evaluates the zones; called every [`EVALUATION_INTERVAL_NS`]. Returns the zones' shares, indexed by the decision
+    /// policy's zone numbers, if they changed.
     pub(crate) fn tick(&mut self, now_ns: u64, peers: Option<&PeerSocket>) -> Option<Vec<f64>> {
         self.observe_overdue(now_ns);
         let output = self.core.handle(timestamp(now_ns), Input::IntervalElapsed);
@@ -230,7 +229,7 @@
     }
 }
 
-/// A moment of the engine's clock as the core has it.
+/// Converts a time of the engine's clock to the core's type.
 fn timestamp(nanos: u64) -> Timestamp {
     Timestamp::from_seconds(nanos as f64 / NANOS_PER_SECOND)
 }
--- a/src/daemon/discovery/zone_failover/placements.rs
+++ b/src/daemon/discovery/zone_failover/placements.rs
@@ -1,7 +1,7 @@
-//! The zone of each listed endpoint, and how many endpoints of each zone are in service.
+//! The zone of each listed endpoint, and the number of endpoints in service in each zone.
 //!
-//! Owner: zone failover. Input: updates of the endpoint list. Output: an endpoint's zone and number in the core's terms.
-//! Invariant: an endpoint has one number for as long as it stays in the list.
+//! Endpoints and zones have the numbers that the zone failover core uses. An endpoint keeps its number as long as it stays
+//! in the list.
 
 use std::collections::HashMap;
 
@@ -10,7 +10,7 @@
 
 use crate::engine::message::EndpointEntry;
 
-/// An endpoint as the core knows it.
+/// Zone and number of an endpoint, as used by the core.
 #[derive(Clone, Copy)]
 pub(super) struct Placement {
     /// The core's number of the endpoint's zone.
@@ -21,16 +21,16 @@
 
 /// The placements of all listed endpoints.
 pub(super) struct EndpointPlacements {
-    /// The core's number of each zone, by the decision policy's.
+    /// The core's zone numbers, indexed by the decision policy's.
     core_zones: Vec<ZoneId>,
     placements: HashMap<EndpointId, Placement>,
-    /// The zones of endpoints in service.
+    /// Zones of the endpoints in service.
     in_service: HashMap<EndpointId, ZoneId>,
     next_endpoint: u32,
 }
 
 impl EndpointPlacements {
-    /// No endpoints; `core_zones` are the core's numbers of the zones, by the decision policy's.
+    /// Starts without endpoints. `core_zones` are the core's zone numbers, indexed by the decision policy's.
     pub(super) fn new(core_zones: Vec<ZoneId>) -> Self {
         EndpointPlacements {
             core_zones,
@@ -40,12 +40,12 @@
         }
     }
 
-    /// The core's numbers of the zones, by the decision policy's.
+    /// The core's zone numbers, indexed by the decision policy's.
     pub(super) fn core_zones(&self) -> &[ZoneId] {
         &self.core_zones
     }
 
-    /// The placement of an endpoint; none where it is not listed, or its zone is not one of the settings'.
+    /// The placement of an endpoint; `None` if it is not listed, or if its zone is not configured.
     pub(super) fn get(&self, endpoint: &EndpointId) -> Option<Placement> {
         self.placements.get(endpoint).copied()
     }
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The number of endpoints in service, by the core's number of the zone.
+    /// The number of endpoints in service in each zone, indexed by the core's zone numbers.
     pub(super) fn count_in_service(&self) -> Vec<u32> {
         let mut counts = vec![0; self.core_zones.len()];
         for zone in self.in_service.values() {
@@ -72,7 +72,7 @@
 
     fn update_endpoint(&mut self, entry: &EndpointEntry) {
         let endpoint = &entry.endpoint;
-        // Endpoints in a zone that the settings do not name take no part in failover.
+        // Endpoints in a zone that is not configured are ignored by zone failover.
         let Some(zone) = self.core_zones.get(endpoint.zone.0 as usize).copied() else {
             return;
         };
