--- a/src/daemon/discovery/watch.rs
+++ b/src/daemon/discovery/watch.rs
@@ -42,7 +42,7 @@
     /// Startup schedule of the fleet, if the operators enabled it. It replaces the delays of this module.
     pub schedule: Option<Arc<StartupSchedule>>,
     /// Whether to forward deltas without entries too. The merge needs them to know that this source is current.
-    pub pass_on_unchanged: bool,
+    pub forward_empty_deltas: bool,
 }
 
 /// Watches the endpoint list at the configured address until the receiver of updates is dropped.
@@ -61,7 +61,7 @@
         settings,
         clock,
         queue,
-        pass_on_unchanged: start.pass_on_unchanged,
+        forward_empty_deltas: start.forward_empty_deltas,
         schedule: start.schedule,
         loss: ConditionLog::default(),
     };
@@ -96,7 +96,7 @@
     settings: Arc<PlatformSettings>,
     clock: Clock,
     queue: mpsc::Sender<Message>,
-    pass_on_unchanged: bool,
+    forward_empty_deltas: bool,
     schedule: Option<Arc<StartupSchedule>>,
     timing: WatchTiming,
     /// Whether a loss of discovery was logged. Ends with an answer from any address.
@@ -278,7 +278,7 @@
     async fn forward(&mut self, kind: EndpointUpdateKind, list: &EndpointList) -> UpdateReceiver {
         let watcher = self.watcher;
         let changed = list.complete || !list.targets.is_empty();
-        if changed || watcher.pass_on_unchanged {
+        if changed || watcher.forward_empty_deltas {
             let entries = list.entries_with_new_warnings(
                 &mut self.reported,
                 &watcher.settings,
--- a/src/daemon/discovery/watch/tests.rs
+++ b/src/daemon/discovery/watch/tests.rs
@@ -167,7 +167,7 @@
             revision: Some(7),
             seed: 1,
             schedule: None,
-            pass_on_unchanged: false,
+            forward_empty_deltas: false,
         };
         let settings = crate::config::platform::PlatformConfig::sample().settings;
         let watching = tokio::spawn(follow(followed, start, settings, Clock::start(), queue));
--- a/src/daemon/serve/node.rs
+++ b/src/daemon/serve/node.rs
@@ -184,7 +184,7 @@
             revision: self.known_revision.filter(|_| !merges_sources),
             seed: self.config.seed,
             schedule: self.schedule.clone(),
-            pass_on_unchanged: merges_sources,
+            forward_empty_deltas: merges_sources,
         };
         let settings = self.config.settings.clone();
         self.tasks.spawn(endpoint_watch::follow(
