--- a/src/daemon/clock/wall_clock.rs
+++ b/src/daemon/clock/wall_clock.rs
@@ -1,32 +1,33 @@
-//! Conversion of Unix times to moments of the monotonic clock, also after a step of the wall clock.
+//! Converts Unix times that other hosts measured to times of the monotonic clock, even after a step of the wall clock.
 //!
-//! Owner: [`crate::clock::Clock`], one history a process. Input: both clocks, read at the same time. Output: moments of the
-//! monotonic clock for Unix times that other hosts measured. Invariants: a Unix time that was converted once has the same
-//! moment until the process exits, so that a step does not change known moments; no moment is in the future.
+//! [`crate::clock::Clock`] has one history per process, and feeds it with simultaneous readings of both clocks. A Unix time
+//! is always converted to the same monotonic time while it is in the cache, so that a step of the wall clock does not change
+//! known times. No converted time is in the future.
 
 use std::collections::BTreeMap;
 
 const NANOS_PER_MILLISECOND: i64 = 1_000_000;
 /// Minimum change of the offset that counts as a step. Smaller changes are drift.
 const MIN_STEP_NS: i64 = 100 * NANOS_PER_MILLISECOND;
-/// Drift up to which the offset stays as it is, so that Unix times that are converted one after the other keep their distances.
+/// Drift up to which the offset is not updated, so that Unix times that are converted shortly after each other keep their
+/// differences.
 const MAX_IGNORED_DRIFT_NS: i64 = 2 * NANOS_PER_MILLISECOND;
-/// How accurately the time of a step is known: twice the interval at which the wall clock is read, for a busy process.
-const ACCURACY_NS: i64 = 1_000 * NANOS_PER_MILLISECOND;
-/// Maximum number of offsets in the history, for a wall clock that is stepped often; the oldest is dropped.
+/// Uncertainty of the time of a step: twice the interval at which the wall clock is read, to allow for a busy process.
+const STEP_TIME_UNCERTAINTY_NS: i64 = 1_000 * NANOS_PER_MILLISECOND;
+/// Maximum number of offsets in the history, in case the wall clock is stepped often; the oldest is dropped.
 const MAX_PERIODS: usize = 16;
-/// Maximum number of converted times: above the number of endpoints of the largest fleet. The earliest is dropped.
+/// Maximum number of cached conversions, which is above the number of endpoints of the largest fleet. The earliest time is
+/// dropped.
 const MAX_CONVERTED: usize = 8_192;
 
-/// A period in which the offset between the two clocks did not change.
-/// The wall clock, read between two readings of the monotonic clock.
+/// A reading of the wall clock between two readings of the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClockReading {
-    /// The monotonic clock before.
+    /// The monotonic clock before the wall clock was read.
     pub before_ns: i64,
-    /// The wall clock: Unix time.
+    /// The wall clock, as Unix time.
     pub unix_ns: i64,
-    /// The monotonic clock after it.
+    /// The monotonic clock after the wall clock was read.
     pub after_ns: i64,
 }
 
@@ -36,18 +37,19 @@
         self.after_ns - self.before_ns
     }
 
-    /// The offset that is consistent with the reading and nearest to another.
+    /// The offset nearest to `offset_ns` that is consistent with the reading.
     fn nearest_offset_ns(&self, offset_ns: i64) -> i64 {
-        let (least, greatest) = (self.unix_ns - self.after_ns, self.greatest_offset_ns());
-        offset_ns.clamp(least, greatest)
+        let (min, max) = (self.unix_ns - self.after_ns, self.max_offset_ns());
+        offset_ns.clamp(min, max)
     }
 
-    /// The greatest offset that is consistent with the reading: by it no moment of the past is one of the future.
-    fn greatest_offset_ns(&self) -> i64 {
+    /// The largest offset that is consistent with the reading. With it, no past Unix time is converted to a future time.
+    fn max_offset_ns(&self) -> i64 {
         self.unix_ns - self.before_ns
     }
 }
 
+/// A period in which the offset between the two clocks did not change.
 #[derive(Clone, Copy, Debug)]
 struct OffsetPeriod {
     /// Unix time minus monotonic time.
@@ -57,29 +59,29 @@
 }
 
 impl OffsetPeriod {
-    /// True if the offset may have been valid at a moment.
-    fn may_hold_at(&self, moment_ns: i64) -> bool {
-        moment_ns >= self.first_seen_ns.saturating_sub(ACCURACY_NS)
-            && moment_ns <= self.last_seen_ns + ACCURACY_NS
+    /// Whether the offset may have been valid at a monotonic time.
+    fn may_be_valid_at(&self, monotonic_ns: i64) -> bool {
+        monotonic_ns >= self.first_seen_ns.saturating_sub(STEP_TIME_UNCERTAINTY_NS)
+            && monotonic_ns <= self.last_seen_ns + STEP_TIME_UNCERTAINTY_NS
     }
 }
 
-/// The history of the wall clock's offset. All moments are nanoseconds of the monotonic clock.
+/// The history of the wall clock's offset to the monotonic clock.
 #[derive(Debug, Default)]
 pub(crate) struct WallClockHistory {
     /// Oldest first.
     periods: Vec<OffsetPeriod>,
-    /// Unix times that were converted before, with their moments.
+    /// Unix times that were converted before, in milliseconds, with their monotonic times in nanoseconds.
     converted: BTreeMap<u64, i64>,
 }
 
 impl WallClockHistory {
-    /// Records a reading of both clocks. The offset changes only where it is not consistent with the reading: how long the
-    /// process was stopped between the clocks is no change of theirs.
+    /// Records a reading of both clocks. The offset changes only if it is inconsistent with the reading, so that a pause of
+    /// the process between the readings is not taken for a step.
     pub(crate) fn observe(&mut self, reading: ClockReading) {
         let Some(last) = self.periods.last_mut() else {
-            // The first known offset is assumed for all time before this process.
-            return self.begin_period(reading.greatest_offset_ns(), i64::MIN, reading.after_ns);
+            // The first known offset is assumed for all times before this process.
+            return self.begin_period(reading.max_offset_ns(), i64::MIN, reading.after_ns);
         };
         let offset_ns = reading.nearest_offset_ns(last.offset_ns);
         let change_ns = (offset_ns - last.offset_ns).abs();
@@ -103,34 +105,35 @@
         });
     }
 
-    /// The present offset: Unix time minus monotonic time, in nanoseconds.
+    /// The current offset: Unix time minus monotonic time, in nanoseconds.
     pub(crate) fn offset_ns(&self) -> i64 {
         self.periods.last().map_or(0, |period| period.offset_ns)
     }
 
-    /// The moment of a Unix time that another host measured. If the wall clock was set back, two moments may have had this
-    /// time; the result is the later one, since an endpoint that started then has had less time to warm up.
-    pub(crate) fn moment_of(&mut self, now_ns: i64, unix_ms: u64) -> i64 {
-        if let Some(moment) = self.converted.get(&unix_ms) {
-            return *moment;
+    /// Converts a Unix time that another host measured to a monotonic time, in nanoseconds. If the wall clock was set back,
+    /// two monotonic times may correspond to this Unix time; the result is the later one, because an endpoint that started
+    /// then has had less time to warm up.
+    pub(crate) fn monotonic_ns(&mut self, now_ns: i64, unix_ms: u64) -> i64 {
+        if let Some(monotonic_ns) = self.converted.get(&unix_ms) {
+            return *monotonic_ns;
         }
         let unix_ns = i64::try_from(unix_ms)
             .unwrap_or(i64::MAX)
             .saturating_mul(NANOS_PER_MILLISECOND);
-        let moment_in = |period: &OffsetPeriod| unix_ns.saturating_sub(period.offset_ns);
+        let convert = |period: &OffsetPeriod| unix_ns.saturating_sub(period.offset_ns);
         let newest_first = || self.periods.iter().rev();
-        let consistent = newest_first().find(|period| period.may_hold_at(moment_in(period)));
-        // No offset is consistent if the other host's clock differs from this one's; the latest candidate counts then.
-        let moment = consistent
-            .map(moment_in)
-            .or_else(|| newest_first().map(moment_in).max())
+        let consistent = newest_first().find(|period| period.may_be_valid_at(convert(period)));
+        // No offset is consistent if the other host's clock differs from this one's. The latest result is used then.
+        let monotonic_ns = consistent
+            .map(convert)
+            .or_else(|| newest_first().map(convert).max())
             .unwrap_or(now_ns);
-        let moment = moment.min(now_ns);
+        let monotonic_ns = monotonic_ns.min(now_ns);
         if self.converted.len() == MAX_CONVERTED {
             self.converted.pop_first();
         }
-        self.converted.insert(unix_ms, moment);
-        moment
+        self.converted.insert(unix_ms, monotonic_ns);
+        monotonic_ns
     }
 }
 
--- a/src/daemon/observability/condition_log/tests.rs
+++ b/src/daemon/observability/condition_log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn lasting_condition_is_logged_at_its_first_observation_alone() {
+fn lasting_condition_is_logged_only_at_its_first_observation() {
     let condition = ConditionLog::default();
     assert!(condition.begins(), "the first observation is logged");
     for observation in 2..5 {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn observers_on_several_threads_log_one_beginning_between_them() {
+fn only_one_of_several_threads_logs_the_beginning() {
     const OBSERVERS: usize = 8;
     let condition = ConditionLog::default();
     let logged = std::thread::scope(|scope| {
--- a/src/daemon/observability/event_counts.rs
+++ b/src/daemon/observability/event_counts.rs
@@ -1,31 +1,30 @@
-//! Counters of why connections were closed, attempts not sent and requests rejected, one for each reason.
+//! Counters of the reasons why connections were closed, attempts were not sent and requests were rejected.
 //!
-//! Owner: the process; the code that ends a connection, an attempt or a request counts it here. Output: the counts since the
-//! last statistics event. The counters are independent of each other, so relaxed ordering is
-//! enough.
+//! The code that ends a connection, an attempt or a request counts the event here; the statistics event logs the counts since
+//! the previous one. The counters are independent of each other, so relaxed ordering is sufficient.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// An event that is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CountedEvent {
-    /// A client connection ended as usual: its client closed it, or a response had `Connection: close`.
+    /// A client connection ended normally: the client closed it, or a response had `Connection: close`.
     ConnectionEnded,
     /// A client connection was evicted for a new one.
     ConnectionEvicted,
     /// A client connection was idle for too long.
     ConnectionIdle,
-    /// A request head did not become complete in time.
+    /// A request head was not complete in time.
     HeadTooSlow,
     /// A client connection was closed by a shutdown or a drain.
     ConnectionShutDown,
     /// A client connection was aborted by slow-peer protection.
     ConnectionAborted,
-    /// A connection was about to be closed when a request, or the beginning of one, arrived on it; it was rejected.
+    /// A request was rejected because all or part of it arrived on a connection that was about to be closed.
     RejectedAtClose,
     /// An accepted connection could not be served because a system call failed.
     AcceptedConnectionFailed,
-    /// An attempt was not sent because its endpoint drains.
+    /// An attempt was not sent because its endpoint is draining.
     NotSentDraining,
     /// An attempt was not sent because its client had disconnected.
     NotSentClientLeft,
@@ -33,17 +32,17 @@
     NotSentWindowOver,
     /// An attempt was not sent because its deadline had expired.
     NotSentExpired,
-    /// An attempt was not sent because this node could not open a connection: it was short of sockets, ports or memory.
+    /// An attempt was not sent because this node lacked the sockets, ports or memory to open a connection.
     NotSentLocalShortage,
     /// A request was rejected because the engine's queue was full.
     RejectedQueueFull,
     /// A request was rejected because there was no memory for its body.
     RejectedBodyMemory,
-    /// A datagram to a peer was dropped because the system did not take it.
+    /// A datagram to a peer was dropped because the operating system did not accept it.
     GossipNotSent,
-    /// A datagram of a peer was dropped because the engine's queue was full.
+    /// A datagram from a peer was dropped because the engine's queue was full.
     GossipDropped,
-    /// The engine refused an action of the policy that would have broken an invariant of the protocol.
+    /// The engine refused an action of the policy that would have violated an invariant of the protocol.
     ActionRefused,
 }
 
@@ -89,12 +88,12 @@
         }))
     }
 
-    /// True where no event was counted.
+    /// Whether no event was counted.
     pub(crate) fn is_empty(&self) -> bool {
         self.0.iter().all(|count| *count == 0)
     }
 
-    /// How often an event was counted; `None` for never, which leaves its field out of the log.
+    /// The count of an event, or `None` for 0, so that its field is left out of the log.
     pub(crate) fn of(&self, event: CountedEvent) -> Option<u64> {
         Some(self.0[event as usize]).filter(|count| *count > 0)
     }
--- a/src/daemon/observability/event_counts/tests.rs
+++ b/src/daemon/observability/event_counts/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn event_that_was_not_counted_has_no_count() {
+fn count_of_an_event_that_did_not_occur_is_none() {
     let mut counts = EventCounts::default();
     assert!(counts.is_empty());
     counts.0[CountedEvent::ActionRefused as usize] = 2;
--- a/src/daemon/observability/logging.rs
+++ b/src/daemon/observability/logging.rs
@@ -1,7 +1,7 @@
-//! The log on standard error, one line an event: as text, or as JSON for collectors.
+//! Log on standard error, one line per `tracing` event, as text or as JSON for log collectors.
 //!
-//! Input: `tracing` events. Output: lines. Invariant: events of single requests and connections are at debug level, so the
-//! cost of an event does not matter at the default level.
+//! Events of single requests and connections are logged at debug level, so the cost of an event does not matter at the
+//! default level.
 
 use std::fmt;
 
@@ -14,7 +14,7 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// The form of a line.
+/// Format of the log.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 #[schemars(rename = "Form")]
@@ -22,14 +22,14 @@
     /// `applewall: MESSAGE: KEY=VALUE ...`
     #[default]
     Text,
-    /// One JSON object, with time, level, message and each figure as a field.
+    /// One JSON object per line, with time, level, message and the event's fields.
     Json,
 }
 
-/// The environment variable with the lowest level that is logged; `debug` has a line for each step of each request.
+/// Environment variable with the lowest level that is logged. `debug` logs a line for each step of each request.
 const LEVEL_VARIABLE: &str = "APPLEWALL_LOG_LEVEL";
 
-/// The lowest level that is logged.
+/// The lowest level that is logged; `info` by default.
 fn level() -> LevelFilter {
     let level = std::env::var(LEVEL_VARIABLE).ok();
     level
@@ -38,14 +38,14 @@
 }
 
 /// Initializes the log. Only the first call has an effect.
-pub(crate) fn init(form: LogFormat) {
-    // By default the library prints its own write errors to standard error, which panics if that is closed.
+pub(crate) fn init(format: LogFormat) {
+    // By default the library prints its own write errors to standard error, which panics if standard error is closed.
     let builder = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_max_level(level())
         .log_internal_errors(false);
-    // Fails if the log is initialized already.
-    let _ = match form {
+    // Fails if the log is already initialized.
+    let _ = match format {
         LogFormat::Text => builder.event_format(TextFormat).try_init(),
         LogFormat::Json => builder
             .json()
--- a/src/daemon/observability/mod.rs
+++ b/src/daemon/observability/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see of a running node: log events, and counters by event.
+//! Log events and event counters for operators.
 
 pub(crate) mod condition_log;
 pub(crate) mod event_counts;
--- a/src/daemon/system/counting_io.rs
+++ b/src/daemon/system/counting_io.rs
@@ -1,7 +1,7 @@
 //! A TCP stream with an observer that performs its reads and is notified of its writes.
 //!
-//! Owner: the hyper connection over the stream. Input and output: the stream's bytes; an observer may delay reads or limit
-//! what they return. Invariant: the observer is dropped before the stream, so it may refer to the stream's descriptor.
+//! The observer may delay reads or limit how much they return. It is dropped before the stream, so it may refer to the
+//! stream's descriptor.
 
 use std::io;
 use std::pin::Pin;
@@ -10,9 +10,9 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Sees each read and write of a [`CountingIo`].
+/// Observes each read and write of a [`CountingIo`].
 pub(crate) trait IoObserver: Unpin {
-    /// Reads from the stream on behalf of the caller.
+    /// Reads from the stream into `buffer`.
     fn poll_read(
         &mut self,
         stream: &mut TcpStream,
@@ -20,7 +20,7 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>>;
 
-    /// Notified of the result of a write: the number of bytes that the kernel accepted, or pending if its buffer is full.
+    /// Called with the result of each write: the number of bytes that the kernel accepted, or pending if its buffer is full.
     fn observe_write(&self, result: &Poll<io::Result<usize>>);
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl<O: IoObserver> CountingIo<O> {
-    /// A stream from which nothing has been read yet, with its observer.
+    /// Combines a stream, from which nothing has been read yet, with its observer.
     pub(crate) fn new(stream: TcpStream, observer: O) -> Self {
         CountingIo { observer, stream }
     }
@@ -42,7 +42,6 @@
         self.stream
     }
 
-    /// The observer.
     pub(crate) fn observer(&self) -> &O {
         &self.observer
     }
--- a/src/daemon/system/durable_file.rs
+++ b/src/daemon/system/durable_file.rs
@@ -1,22 +1,22 @@
-//! Atomic replacement of a file: a crash or a loss of power at any moment leaves either the old or the new content.
+//! Atomic replacement of a file: after a crash or a power loss at any moment, it has either the old or the new content.
 
 use std::fs::File;
 use std::io::{self, Write as _};
 use std::path::Path;
 
-/// Writes `bytes` to `next`, a path in the same folder, and renames that to `path`. Blocks until the disk has written both.
+/// Writes `bytes` to `next`, a path in the same directory, and renames it to `path`. Blocks until both are on disk.
 ///
 /// # Errors
 ///
-/// The operating system's error. The old file is unchanged; `next` is removed, since a partial file would take space on a
-/// full disk.
+/// The operating system's error. If the write or the rename failed, the old file is unchanged, and `next` is removed, since a
+/// partial file would take up space on a full disk.
 pub(crate) fn replace(next: &Path, path: &Path, bytes: &[u8]) -> io::Result<()> {
     let written = write(next, bytes).and_then(|()| std::fs::rename(next, path));
     if written.is_err() {
         let _ = std::fs::remove_file(next);
     }
     written?;
-    sync_folder(path)
+    sync_directory_of(path)
 }
 
 /// Writes a file and waits until its bytes are on disk.
@@ -27,10 +27,10 @@
     file.sync_all()
 }
 
-/// Waits until the rename of `path` is on disk.
-fn sync_folder(path: &Path) -> io::Result<()> {
+/// Syncs the directory of `path`, so that the rename is on disk.
+fn sync_directory_of(path: &Path) -> io::Result<()> {
     match path.parent() {
-        Some(folder) => File::open(folder)?.sync_all(),
+        Some(directory) => File::open(directory)?.sync_all(),
         None => Ok(()),
     }
 }
--- a/src/daemon/system/mod.rs
+++ b/src/daemon/system/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets and files: retries at startup, observed I/O, the UDP socket of the peers, atomic replacement of files.
+//! Sockets and files: opening sockets with retries, streams with observers, the UDP socket for peers, and atomic replacement
+//! of files.
 
 pub(crate) mod counting_io;
 pub(crate) mod durable_file;
--- a/src/daemon/system/peer_socket.rs
+++ b/src/daemon/system/peer_socket.rs
@@ -1,8 +1,8 @@
 //! The UDP socket for messages between the nodes of a fleet.
 //!
-//! Owner: the node; the engine and the startup schedule send through it, one task receives. Input: datagrams. Output:
-//! messages to the engine. Invariants: sending never waits; a datagram is dropped if it is malformed, if its sender is not
-//! a configured peer, or if the engine's queue is full. The protocols over it tolerate loss.
+//! The engine and the startup schedule send through it; one task receives datagrams for the engine. Sending never blocks. A
+//! received datagram is dropped if it is malformed, if its sender is not a configured peer, or if the engine's queue is full.
+//! The protocols on top of it tolerate loss.
 
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
@@ -20,11 +20,11 @@
 use crate::observability::event_counts::{self, CountedEvent};
 use crate::system::socket_retry::open_with_retries;
 
-/// Maximum length of a datagram, as the platform's protocol has it.
+/// Maximum length of a datagram in the platform's protocol.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// Wait after an error of the socket, so that a lasting error does not use up the CPU.
+/// Delay after an error of the socket, so that a persistent error does not cause a busy loop.
 const RECEIVE_BACKOFF: Duration = Duration::from_millis(10);
-/// A datagram of an unknown sender is logged only if none was received for this long before it.
+/// A datagram from an unknown sender is logged only if no other one was received for this long before.
 const UNKNOWN_SENDER_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
 /// The UDP socket could not be bound.
@@ -45,9 +45,9 @@
     own_index: usize,
 }
 
-/// Receives datagrams before the engine does. Keeps this module independent of those that handle datagrams.
+/// Handles datagrams before the engine does. Keeps this module independent of the modules that handle them.
 pub(crate) trait DatagramHandler: Send + Sync {
-    /// Handles a datagram of a peer; false if it is to be passed on to the engine.
+    /// Handles a datagram from a peer. Returns false if it has to be forwarded to the engine.
     fn handle(&self, peers: &PeerSocket, from: NodeId, text: &str, sender: SocketAddr) -> bool;
 }
 
@@ -58,12 +58,12 @@
 }
 
 impl PeerSocket {
-    /// Binds the socket, if the configuration has an address for it and gossip is enabled; a port 0 in the configuration is
-    /// replaced by the port that was bound. `inherited` is the old process's socket, which is bound already.
+    /// Binds the socket, if the configuration has an address for it and gossip is enabled. A port 0 in the configuration is
+    /// replaced by the port that was bound. `inherited` is the old process's socket, which is already bound.
     ///
     /// # Errors
     ///
-    /// The address can't be bound, or the inherited socket can't be used.
+    /// The address cannot be bound, or the inherited socket cannot be used.
     pub(crate) async fn bind(
         config: &mut PlatformConfig,
         inherited: Option<OwnedFd>,
@@ -92,14 +92,14 @@
         }))
     }
 
-    /// Waits until the socket is known to be writable. Before the runtime has polled the socket for the first time,
-    /// `try_send_to` fails, and a datagram sent by then is lost.
+    /// Waits until the socket is known to be writable. Until the runtime has polled the socket for the first time,
+    /// `try_send_to` fails, and datagrams are lost.
     pub(crate) async fn writable(&self) {
-        // `send` meets the same error.
+        // An error is ignored, because `send` fails with the same one and counts it.
         let _ = self.socket.writable().await;
     }
 
-    /// Sends a datagram to one peer, or to all. It is dropped if the socket's buffer is full.
+    /// Sends a datagram to one peer, or to all peers. The datagram is dropped if the socket's buffer is full.
     pub(crate) fn send(&self, peer: Option<NodeId>, text: &str) {
         if text.len() > MAX_DATAGRAM_BYTES {
             return;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Receives datagrams until the role's owner is dropped; only while this process is active, since otherwise the new
+    /// Receives datagrams until the role's owner is dropped. Reads only while this process is active, since otherwise the new
     /// process reads the shared socket.
     pub(crate) async fn receive(
         self: Arc<Self>,
@@ -150,7 +150,7 @@
                 continue;
             };
             let Some(from) = self.peer_index(sender) else {
-                unknown_senders.dropped_datagram(sender);
+                unknown_senders.record_dropped(sender);
                 continue;
             };
             let Some(text) = datagram_text(&buffer[..length]) else {
@@ -181,14 +181,14 @@
     }
 }
 
-/// The text of a datagram; `None` where it is too long or no UTF-8.
+/// The text of a datagram; `None` if it is too long or not UTF-8.
 fn datagram_text(bytes: &[u8]) -> Option<&str> {
     std::str::from_utf8(bytes)
         .ok()
         .filter(|text| text.len() <= MAX_DATAGRAM_BYTES)
 }
 
-/// Limits the log of datagrams from unknown senders, of which anyone may send any number.
+/// Limits the log of datagrams from unknown senders, since anyone can send any number of them.
 #[derive(Default)]
 struct UnknownSenders {
     last_received: Option<Instant>,
@@ -196,7 +196,7 @@
 
 impl UnknownSenders {
     /// Logs a dropped datagram, unless another was dropped within [`UNKNOWN_SENDER_LOG_INTERVAL`] before.
-    fn dropped_datagram(&mut self, sender: SocketAddr) {
+    fn record_dropped(&mut self, sender: SocketAddr) {
         let now = Instant::now();
         let last = self.last_received.replace(now);
         if last.is_none_or(|last| now - last > UNKNOWN_SENDER_LOG_INTERVAL) {
--- a/src/daemon/system/socket_retry.rs
+++ b/src/daemon/system/socket_retry.rs
@@ -1,5 +1,4 @@
-//! Opens sockets at startup, with retries while the system is short of resources, so that a transient shortage does not end
-//! the process.
+//! Opens sockets with retries, so that a transient shortage of system resources does not end the process.
 
 use std::future::Future;
 use std::io;
@@ -8,10 +7,10 @@
 use rustix::io::Errno;
 use tokio::time::{sleep, Instant};
 
-/// How long opening a socket is retried: half of the 6 s within which a node has to be ready; the rest of the startup needs
-/// the other half.
+/// How long opening a socket is retried: half of the 6 s within which a node has to be ready. The other half is left for the
+/// rest of the startup.
 const RETRY_PERIOD: Duration = Duration::from_secs(3);
-/// Time between two attempts.
+/// Interval between attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Calls `open` until it succeeds, fails with an error that is not transient, or [`RETRY_PERIOD`] is over.
@@ -22,10 +21,10 @@
 pub(crate) async fn open_with_retries<T, F: Future<Output = io::Result<T>>>(
     mut open: impl FnMut() -> F,
 ) -> io::Result<T> {
-    let give_up_at = Instant::now() + RETRY_PERIOD;
+    let deadline = Instant::now() + RETRY_PERIOD;
     loop {
         match open().await {
-            Err(error) if is_transient(&error) && Instant::now() < give_up_at => {
+            Err(error) if is_transient(&error) && Instant::now() < deadline => {
                 sleep(RETRY_INTERVAL).await;
             }
             result => return result,
@@ -33,7 +32,7 @@
     }
 }
 
-/// True for errors of a system that is short of resources, and of an interrupted call.
+/// Whether the error is a shortage of system resources or an interrupted call.
 pub(crate) fn is_transient(error: &io::Error) -> bool {
     Errno::from_io_error(error).is_some_and(|errno| {
         [
