--- a/src/bin/applewall-simulator-host.rs
+++ b/src/bin/applewall-simulator-host.rs
@@ -1,4 +1,5 @@
-//! Hosts one decision policy per node for the simulator, over standard input and output.
+//! Runs one decision policy per simulated node, and exchanges events and actions with the simulator over standard input and
+//! output.
 
 use std::any::Any;
 use std::collections::HashMap;
@@ -17,7 +18,7 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Why the host ends.
+/// Error that ends the host.
 #[derive(Debug, Error)]
 enum HostError {
     #[error("line {number}: {source}")]
@@ -30,7 +31,7 @@
     Output(#[source] io::Error),
 }
 
-/// What is wrong with a line.
+/// Error in an input line.
 #[derive(Debug, Error)]
 enum LineError {
     #[error(transparent)]
@@ -41,9 +42,9 @@
     Protocol(#[from] ProtocolError),
     #[error("outside a batch")]
     OutsideBatch,
-    #[error("a batch inside a batch")]
+    #[error("nested batch")]
     NestedBatch,
-    #[error("no instance {0}")]
+    #[error("unknown node {0}")]
     UnknownNode(u64),
 }
 
@@ -52,7 +53,7 @@
     settings: Box<PlatformSettings>,
 }
 
-/// Whether a reply is complete.
+/// Whether the reply to a batch is complete.
 #[derive(PartialEq)]
 enum Reply {
     Partial,
@@ -69,7 +70,7 @@
 }
 
 impl Host {
-    /// Takes one line in.
+    /// Handles one input line and appends its output to the reply.
     fn handle_line(&mut self, text: &str) -> Result<Reply, LineError> {
         let line = parse_line(text)?;
         if self.batch.is_none() && !matches!(line, InputLine::BatchStart { .. }) {
@@ -113,7 +114,7 @@
         let list = |list| self.endpoint_lists.get(&list).cloned();
         let event = match parse_event(&node.settings, fields, list)? {
             NodeEvent::Policy(event) => event,
-            // Answers to requests that the policy does not make.
+            // Results of requests that the policy never makes.
             NodeEvent::HealthChecked { .. } | NodeEvent::CounterRead { .. } => return Ok(()),
         };
         match decide(&mut node.policy, self.now_ns, event) {
@@ -128,7 +129,7 @@
     }
 }
 
-/// The actions that follow from an event, or the panic that it caused.
+/// Passes an event to the policy; returns its actions, or the panic that the event caused.
 fn decide(
     policy: &mut DecisionPolicy,
     now_ns: u64,
@@ -173,7 +174,7 @@
 }
 
 fn main() -> ExitCode {
-    // A panic of the policy is reported to the simulator; its trace would only clutter standard error.
+    // Panics of the policy are reported to the simulator, so their messages are not printed to standard error.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/daemon/cli.rs
+++ b/src/daemon/cli.rs
@@ -1,7 +1,6 @@
-//! The command line: parses the arguments and runs the sub-command that they name.
+//! Command line: parses the arguments and runs the sub-command.
 //!
-//! Input: the process's arguments and the environment. Output: the sub-command's result. Invariant: the node starts only
-//! after the arguments and both configuration files were found valid.
+//! The node starts only after the arguments and both configuration files have been validated.
 
 use std::ffi::OsString;
 
@@ -14,10 +13,10 @@
 const USAGE: &str =
     "usage: applewall serve | check [--operator FILE] | schema [operator | registry] | version | help";
 
-/// Why a command line is rejected.
+/// Error in the command line.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum UsageError {
-    /// There is no sub-command.
+    /// The sub-command is missing.
     #[error("{USAGE}")]
     NoCommand,
     /// The first argument is not a sub-command.
@@ -31,10 +30,10 @@
     Malformed(#[from] lexopt::Error),
 }
 
-/// Why a sub-command failed.
+/// Error of a sub-command.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// The command line is rejected.
+    /// The command line is not valid.
     #[error(transparent)]
     Usage(#[from] UsageError),
     /// `check` found the configuration invalid.
@@ -45,7 +44,7 @@
     Serve(#[from] ServeError),
 }
 
-/// The format whose JSON Schema is printed.
+/// The format for which `schema` prints the JSON Schema.
 enum SchemaSubject {
     OperatorFile,
     RegistryValue,
@@ -63,7 +62,7 @@
 /// The parsed command line.
 struct Arguments {
     command: Command,
-    /// The path of the operator's file, if it is given.
+    /// The path of the operator's file, if given.
     operator_path: Option<String>,
 }
 
@@ -115,7 +114,7 @@
     }
 }
 
-/// Reads the command line and runs its sub-command.
+/// Parses the command line and runs the sub-command.
 ///
 /// # Errors
 ///
@@ -138,7 +137,7 @@
     Ok(())
 }
 
-/// Reads the configuration and runs the node. The log has its format from the operator's file.
+/// Reads the configuration and runs the node. The operator's file determines the format of the log.
 fn serve(operator_path: Option<String>) -> Result<(), ServeError> {
     let operator_config = OperatorConfig::read(operator_path.as_deref())?;
     logging::init(operator_config.log.format);
@@ -146,7 +145,7 @@
     serve::serve(platform_config, operator_config, operator_path)
 }
 
-/// Reads the configuration and prints what it describes.
+/// Reads the configuration and prints a summary of it.
 fn check(operator_path: Option<&str>) -> Result<(), ConfigError> {
     let operator_config = OperatorConfig::read(operator_path)?;
     println!("{}", PlatformConfig::from_env()?.summary());
@@ -157,8 +156,8 @@
 }
 
 fn print_help() {
-    println!("{USAGE}\n\nserve    run the ingress that GW_CONFIG describes, until SIGTERM");
-    println!("check    read GW_CONFIG and say what it describes");
-    println!("schema   print the JSON Schema of the operator's file, or of a registry's values");
+    println!("{USAGE}\n\nserve    run the ingress configured by GW_CONFIG until SIGTERM");
+    println!("check    validate the configuration and print a summary of it");
+    println!("schema   print the JSON Schema of the operator's file or of the registry's values");
     println!("version  print the version");
 }
--- a/src/daemon/config/file_error.rs
+++ b/src/daemon/config/file_error.rs
@@ -1,19 +1,21 @@
-//! Errors in the values of the platform's file, where its JSON is well-formed.
+//! Errors in the values of the platform's file, if its JSON is well-formed.
 
 use applewall::platform_settings::SettingsError;
 
 use super::platform::MIN_DESCRIPTORS;
 
-/// A value of the platform's file that can't be used.
+/// A value in the platform's file that is not valid.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PlatformFileError {
     /// A setting of the decision policy is not valid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// `limits.sockets` is below [`MIN_DESCRIPTORS`].
-    #[error("limits.sockets: {0} descriptors are too few, {MIN_DESCRIPTORS} at least")]
+    #[error(
+        "limits.sockets: {0} descriptors are too few, at least {MIN_DESCRIPTORS} are required"
+    )]
     TooFewDescriptors(usize),
     /// The seed is not a hexadecimal number.
-    #[error("seed: '{0}' is not hex digits")]
+    #[error("seed: '{0}' is not a hexadecimal number")]
     Seed(String),
 }
--- a/src/daemon/config/golden.rs
+++ b/src/daemon/config/golden.rs
@@ -1,14 +1,15 @@
-//! What both golden tests of the configuration share.
+//! Helper shared by the golden tests of the configuration.
 
 /// Fails at the first line that differs.
-pub(super) fn compare(now: &str, committed: &str) {
-    now.lines()
-        .zip(committed.lines())
-        .for_each(|(now, committed)| assert_eq!(now, committed));
+pub(super) fn compare(actual: &str, recorded: &str) {
+    actual
+        .lines()
+        .zip(recorded.lines())
+        .for_each(|(actual, recorded)| assert_eq!(actual, recorded));
     assert!(
-        now == committed,
-        "{} lines for {}",
-        now.lines().count(),
-        committed.lines().count()
+        actual == recorded,
+        "{} lines, expected {}",
+        actual.lines().count(),
+        recorded.lines().count()
     );
 }
--- a/src/daemon/config/mod.rs
+++ b/src/daemon/config/mod.rs
@@ -1,8 +1,8 @@
 //! The configuration: the platform's JSON file ([`platform::PlatformConfig`]) and the operator's INI file
 //! ([`operator::OperatorConfig`]).
 //!
-//! Owner: `cli` reads both before the node starts; [`reload`] reads them again while it runs. Input: files and environment
-//! variables. Output: typed values, or a [`ConfigError`] that names file and key.
+//! `cli` reads both before the node starts; [`reload`] reads them again while it runs. A [`ConfigError`] names the file and
+//! the key that is invalid.
 
 use std::error::Error;
 use std::io;
@@ -16,16 +16,16 @@
 
 pub(crate) use file_error::PlatformFileError;
 
-/// Why the configuration can't be used; one line with file and key.
+/// Why the configuration cannot be used. The message is one line with the file and the key.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConfigError {
     /// The environment variable `GW_CONFIG` is missing.
     #[error("GW_CONFIG is not set")]
     NotSet,
-    /// The platform's file can't be read.
+    /// The platform's file cannot be read.
     #[error("GW_CONFIG: {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// The operating system's error.
         source: io::Error,
@@ -33,33 +33,33 @@
     /// The platform's file is not JSON, or a value has the wrong type.
     #[error("GW_CONFIG: {path}: {source}")]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Where it is wrong.
+        /// The error, with its position.
         source: serde_json::Error,
     },
-    /// A value of the platform's file can't be used.
+    /// A value in the platform's file is not valid.
     #[error("GW_CONFIG: {path}: {source}")]
-    InFile {
-        /// The file.
+    InvalidValue {
+        /// Path of the file.
         path: String,
-        /// The value.
+        /// The key, and why its value is not valid.
         source: PlatformFileError,
     },
     /// An environment variable's value is not an address with a port.
-    #[error("{variable}: '{value}' is no address with a port")]
+    #[error("{variable}: '{value}' is not an address with a port")]
     Address {
-        /// The variable.
+        /// Name of the variable.
         variable: &'static str,
-        /// What it holds.
+        /// Value of the variable.
         value: String,
     },
-    /// The operator's file can't be read, or a value of it can't be used.
+    /// The operator's file cannot be read, or a value in it is not valid.
     #[error("{path}: {source}")]
     OperatorFile {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Section, key and reason.
+        /// The error, with section and key if it concerns a value.
         source: Box<dyn Error + Send + Sync>,
     },
 }
--- a/src/daemon/config/operator.rs
+++ b/src/daemon/config/operator.rs
@@ -1,7 +1,6 @@
 //! The operator's configuration: an INI file with a section for each subsystem, each disabled by default.
 //!
-//! Owner: `cli`, and the reloader. Input: the file. Output: an [`OperatorConfig`]. Invariant: the published schema is generated
-//! from the same types; their doc comments are its descriptions, so they stay as published.
+//! The published schema is generated from the types in this module; their doc comments are its descriptions.
 
 use std::error::Error;
 
@@ -18,17 +17,17 @@
 use crate::config::ConfigError;
 use crate::observability::logging;
 
-/// All sections.
+/// All sections of the operator's file.
 #[derive(Clone, Debug, Default, Deserialize, Validate, JsonSchema)]
 #[serde(default, deny_unknown_fields, rename = "Operator")]
 pub(crate) struct OperatorConfig {
     /// The log.
     #[garde(skip)]
     pub log: LogConfig,
-    /// Slow-peer protection: minimum data rates, and limits on what may wait.
+    /// Slow-peer protection: minimum data rates, and limits on unsent data.
     #[garde(dive)]
     pub pace: slow_peer::Settings,
-    /// What one customer or one set of addresses may hold at most.
+    /// Bulkheads: limits on the resources that one customer or one network may hold.
     #[garde(dive)]
     pub bulkheads: slow_peer::BulkheadSettings,
     /// Membership from an etcd v3 registry.
@@ -37,10 +36,10 @@
     /// Membership from a Consul-style store.
     #[garde(dive)]
     pub consul: consul::Settings,
-    /// Startup scheduling of calls to discovery over the fleet, and readiness that waits for a list.
+    /// Startup scheduling: distributes the fleet's calls to discovery, and delays readiness until there is an endpoint list.
     #[garde(dive)]
     pub cold_start: startup_scheduler::Settings,
-    /// Zone failover by the whole fleet, and a gradual return.
+    /// Zone failover: the fleet moves traffic away from a failing zone and returns it gradually.
     #[garde(dive)]
     pub zones: zone_failover::Settings,
 }
@@ -54,11 +53,11 @@
 }
 
 impl OperatorConfig {
-    /// Reads the file; without a path, every subsystem is disabled.
+    /// Reads the file. Without a path, every subsystem is disabled.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or a value is not valid; the text names file, section and key.
+    /// The file cannot be read, or a value is not valid; the error names file, section and key.
     pub(crate) fn read(path: Option<&str>) -> Result<Self, ConfigError> {
         let Some(path) = path else {
             return Ok(OperatorConfig::default());
@@ -76,7 +75,7 @@
         operator_config::schema::<OperatorConfig>()
     }
 
-    /// The sections of the enabled subsystems, for `check` and for the log.
+    /// The names of the enabled sections, for `check` and for the log.
     pub(crate) fn summary(&self) -> String {
         let sections = [
             ("pace", self.pace.enabled.0),
--- a/src/daemon/config/operator/golden.rs
+++ b/src/daemon/config/operator/golden.rs
@@ -1,11 +1,11 @@
-//! Every key of the operator's file, as it was read and refused (`tests/golden`).
+//! Compares how every key of the operator's file is read and rejected with recorded results (`tests/golden`).
 
 use super::*;
 use std::fmt::Write as _;
 
 const OPERATOR: &str = include_str!("../../../../tests/golden/operator.ini");
 
-/// A key of the file, and what it is read as.
+/// A key of the file, and the value that it is read as.
 type Key = (&'static str, String);
 
 fn text(value: impl std::fmt::Debug) -> String {
@@ -105,7 +105,7 @@
     ]
 }
 
-/// Every key of the operator's file, and what it is read as.
+/// Every key of the operator's file, with the value that it is read as.
 fn keys(config: &OperatorConfig) -> Vec<Key> {
     let json = config.log.format == crate::observability::logging::LogFormat::Json;
     [
@@ -120,18 +120,18 @@
     .concat()
 }
 
-/// Each key as it is without a file, in the two that are shipped, and in the one that sets them all.
+/// Reads each key without a file, from both shipped files, and from a file that sets all keys.
 #[test]
 fn operator_file_is_read_as_recorded() {
-    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/");
+    let directory = concat!(env!("CARGO_MANIFEST_DIR"), "/");
     let files = [
         "deploy/applewall.ini",
         "deploy/applewall.recommended.ini",
         "tests/golden/operator.ini",
     ];
     let read =
-        files.map(|file| keys(&OperatorConfig::read(Some(&format!("{folder}{file}"))).unwrap()));
-    let mut now = String::new();
+        files.map(|file| keys(&OperatorConfig::read(Some(&format!("{directory}{file}"))).unwrap()));
+    let mut actual = String::new();
     for (i, (key, value)) in keys(&OperatorConfig::read(None).unwrap())
         .into_iter()
         .enumerate()
@@ -139,26 +139,26 @@
         let [off, recommended, full] = read.each_ref().map(|keys| &keys[i].1);
         assert_ne!(
             &value, full,
-            "{key} has its default in the file that is to set it"
+            "{key} has its default value in the file that should change it"
         );
-        writeln!(now, "{key}: {value} | {off} | {recommended} | {full}").unwrap();
+        writeln!(actual, "{key}: {value} | {off} | {recommended} | {full}").unwrap();
     }
     crate::config::golden::compare(
-        &now,
+        &actual,
         include_str!("../../../../tests/golden/operator_read.txt"),
     );
 }
 
-/// Each key with values of all kinds: the error then, or that it is accepted. And errors of the file itself.
+/// Reads malformed files, and each key with values of all kinds. Records the error, or `will do` if the value is accepted.
 #[test]
-fn operator_file_is_refused_in_the_recorded_words() {
-    let (mut now, mut section) = (String::new(), "");
+fn operator_file_is_rejected_with_the_recorded_errors() {
+    let (mut actual, mut section) = (String::new(), "");
     let mut record = |text: &str| {
         let read = operator_config::read::<OperatorConfig>(text)
             .map_or_else(|error| error.to_string(), |_| "will do".to_string());
-        writeln!(now, "{} => {read}", text.replace('\n', " ")).unwrap();
+        writeln!(actual, "{} => {read}", text.replace('\n', " ")).unwrap();
     };
-    let torn = [
+    let malformed_files = [
         "x = 1",
         "[pace\nenabled = on",
         "[pace]\nenabled",
@@ -168,7 +168,7 @@
         "[Pace]",
         "[pace]\ntick = 20ms\ntick = 20ms",
     ];
-    torn.into_iter().for_each(&mut record);
+    malformed_files.into_iter().for_each(&mut record);
     for line in OPERATOR.lines() {
         if line.starts_with('[') {
             section = line;
@@ -182,7 +182,7 @@
         }
     }
     crate::config::golden::compare(
-        &now,
+        &actual,
         include_str!("../../../../tests/golden/operator_refused.txt"),
     );
 }
--- a/src/daemon/config/platform.rs
+++ b/src/daemon/config/platform.rs
@@ -1,8 +1,7 @@
-//! The platform's configuration: the file that `GW_CONFIG` names, overridden by `GW_NAME`, `GW_LISTEN`, `GW_OPERATOR` and
-//! `GW_DISCOVERY`.
+//! The platform's configuration: the JSON file at the path in `GW_CONFIG`. The environment variables `GW_NAME`, `GW_LISTEN`,
+//! `GW_OPERATOR` and `GW_DISCOVERY` override its values.
 //!
-//! Owner: `cli`, which reads it once, and the reloader. Input: the file and the environment. Output: a [`PlatformConfig`].
-//! Invariants: a variable overrides the file; the file's keys are the platform's, whatever the fields here are called.
+//! The platform defines the file's keys; fields with other names here are renamed by serde attributes.
 
 use std::env;
 use std::net::SocketAddr;
@@ -15,7 +14,7 @@
 use crate::config::{ConfigError, PlatformFileError};
 use crate::discovery::endpoint_list::EndpointList;
 
-/// Minimum of `limits.sockets`: fewer descriptors leave none for clients beside the program's own sockets.
+/// Minimum of `limits.sockets`. With fewer descriptors, none would be left for clients besides the program's own sockets.
 pub(super) const MIN_DESCRIPTORS: usize = 64;
 /// Default of `limits.sockets`.
 const DEFAULT_DESCRIPTORS: usize = 1024;
@@ -70,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// The file can't be read, is not JSON, or a value has the wrong type.
+    /// The file cannot be read, is not JSON, or a value has the wrong type.
     pub(super) fn read(path: &str) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
             path: path.to_string(),
@@ -82,11 +81,11 @@
         })
     }
 
-    /// Replaces the file's values by those of the environment.
+    /// Replaces the file's values with those of the environment variables.
     fn override_from_env(&mut self) -> Result<(), ConfigError> {
-        self.listen = address("GW_LISTEN")?.unwrap_or(self.listen);
-        self.discovery = address("GW_DISCOVERY")?.unwrap_or(self.discovery);
-        self.admin_listen = address("GW_OPERATOR")?.or(self.admin_listen);
+        self.listen = address_from_env("GW_LISTEN")?.unwrap_or(self.listen);
+        self.discovery = address_from_env("GW_DISCOVERY")?.unwrap_or(self.discovery);
+        self.admin_listen = address_from_env("GW_OPERATOR")?.or(self.admin_listen);
         if let Ok(name) = env::var("GW_NAME") {
             self.name = name;
         }
@@ -95,7 +94,7 @@
 }
 
 /// The address in an environment variable, if it is set.
-fn address(variable: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
+fn address_from_env(variable: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
     let Ok(value) = env::var(variable) else {
         return Ok(None);
     };
@@ -105,11 +104,11 @@
     }
 }
 
-/// The platform's configuration, valid and with all defaults.
+/// The platform's configuration after validation, with defaults filled in.
 pub(crate) struct PlatformConfig {
     /// The path of the file, for reloads.
     pub(super) path: String,
-    /// The address of discovery in the file, which a variable may override.
+    /// The address of discovery in the file, which `GW_DISCOVERY` may override.
     pub(super) discovery_in_file: SocketAddr,
     /// The node's name.
     pub name: String,
@@ -127,18 +126,18 @@
     pub max_memory_bytes: usize,
     /// The address of the UDP socket, if there is one.
     pub peer_listen: Option<SocketAddr>,
-    /// The addresses of the fleet's nodes, this one included.
+    /// The addresses of the fleet's nodes, including this one.
     pub peers: Vec<SocketAddr>,
     /// An address at which one datagram reaches all peers, if the platform has one.
     pub peer_broadcast: Option<SocketAddr>,
-    /// The endpoint list that the platform has from an earlier process, to start with.
+    /// The endpoint list to start with, which the platform has from an earlier process.
     pub known_endpoints: EndpointList,
-    /// The decision policy's settings, and the names of classes, plans and other things that it numbers.
+    /// The decision policy's settings, and the names of the classes, plans and other items that it refers to by number.
     pub settings: Arc<PlatformSettings>,
 }
 
 impl PlatformConfig {
-    /// Reads the file that `GW_CONFIG` names; the other variables override its values.
+    /// Reads the file at the path in `GW_CONFIG`; the other variables override its values.
     ///
     /// # Errors
     ///
@@ -154,11 +153,11 @@
                 discovery_in_file,
                 ..config
             }),
-            Err(source) => Err(ConfigError::InFile { path, source }),
+            Err(source) => Err(ConfigError::InvalidValue { path, source }),
         }
     }
 
-    /// One line that describes the node, for `check` and for the log.
+    /// A one-line description of the node, for `check` and for the log.
     pub(crate) fn summary(&self) -> String {
         let datagrams = self
             .peer_listen
@@ -213,7 +212,7 @@
 
 #[cfg(test)]
 impl PlatformConfig {
-    /// The configuration of the recorded exchanges, where nothing listens.
+    /// The configuration of the recorded exchanges, with addresses at which nothing listens.
     pub(crate) fn sample() -> Self {
         let text = include_str!("../../../tests/exchanges/config.json")
             .replace("@discovery", "127.0.0.1:9");
--- a/src/daemon/config/platform/golden.rs
+++ b/src/daemon/config/platform/golden.rs
@@ -1,4 +1,4 @@
-//! Every key of the platform's file, as it was read and refused (`tests/golden`).
+//! Compares how every key of the platform's file is read and rejected with recorded results (`tests/golden`).
 
 use super::*;
 use crate::clock::Clock;
@@ -55,8 +55,8 @@
     );
 }
 
-/// What an entry of `known` is read as: the endpoint, and its address.
-type Known = (
+/// An entry of `known` as it is read: the fields of the endpoint, and its address.
+type KnownEntry = (
     String,
     String,
     f64,
@@ -67,7 +67,7 @@
     EndpointState,
 );
 
-fn known(entry: EndpointEntry) -> Known {
+fn known_entry(entry: EndpointEntry) -> KnownEntry {
     let endpoint = entry.endpoint;
     (
         endpoint.id.to_string(),
@@ -81,8 +81,8 @@
     )
 }
 
-/// An entry that names its id, address and state alone.
-fn bare(id: &str, address: &str, state: EndpointState) -> Known {
+/// An entry that has only an id, an address and a state.
+fn minimal_entry(id: &str, address: &str, state: EndpointState) -> KnownEntry {
     let no_zone = u32::MAX - 1;
     (id.into(), address.into(), 0.0, None, no_zone, -1, 0, state)
 }
@@ -98,11 +98,11 @@
     let entries = list.entries(&config.settings, &Clock::start());
     let (ready, address) = (EndpointState::Ready, "10.0.0.1:80".to_string());
     assert_eq!(
-        entries.into_iter().map(known).collect::<Vec<_>>(),
+        entries.into_iter().map(known_entry).collect::<Vec<_>>(),
         [
             ("s-1".into(), address, 1.5, Some(1), 1, 7, 1, ready),
-            bare("s-2", "[2001:db8::1]:80", EndpointState::Draining),
-            bare("s-3", "10.0.0.3:80", EndpointState::Removed),
+            minimal_entry("s-2", "[2001:db8::1]:80", EndpointState::Draining),
+            minimal_entry("s-3", "10.0.0.3:80", EndpointState::Removed),
         ]
     );
 }
@@ -234,31 +234,32 @@
     );
 }
 
-/// All values in it by their JSON pointers.
+/// Collects the JSON pointers of all values inside `value`, which is itself at the pointer `at`.
 fn pointers(value: &Value, at: &str, all: &mut Vec<String>) {
-    let inner: Vec<(String, &Value)> = match value {
+    let children: Vec<(String, &Value)> = match value {
         Value::Object(map) => map
             .iter()
             .map(|(key, value)| (key.clone(), value))
             .collect(),
-        Value::Array(row) => row
+        Value::Array(elements) => elements
             .iter()
             .enumerate()
             .map(|(index, value)| (index.to_string(), value))
             .collect(),
         _ => vec![],
     };
-    for (key, value) in inner {
+    for (key, value) in children {
         let at = format!("{at}/{key}");
         pointers(value, &at, all);
         all.push(at);
     }
 }
 
-/// Each key left out, and each value replaced by one of another kind: the error then, or that it is accepted.
+/// Reads the file without each key, and with each value replaced by one of another type. Records the error, or `will do` if
+/// the file is accepted.
 #[test]
-fn platform_file_is_refused_in_the_recorded_words() {
-    let (mut all, mut now, clock) = (Vec::new(), String::new(), Clock::start());
+fn platform_file_is_rejected_with_the_recorded_errors() {
+    let (mut all, mut actual, clock) = (Vec::new(), String::new(), Clock::start());
     let read = |config: PlatformConfig| {
         format!(
             "will do, {} instances read",
@@ -279,33 +280,38 @@
         *other.pointer_mut(&at).unwrap() = Value::String("?".into());
         let texts = [without, other]
             .map(|value| config(value).map_or_else(|error| error.to_string(), read));
-        writeln!(now, "{at}\n  without: {}\n  other: {}", texts[0], texts[1]).unwrap();
+        writeln!(
+            actual,
+            "{at}\n  without: {}\n  other: {}",
+            texts[0], texts[1]
+        )
+        .unwrap();
     }
     compare(
-        &now,
+        &actual,
         include_str!("../../../../tests/golden/platform_refused.txt"),
     );
 }
 
-/// The platform's file without all that may be left out.
-fn least_config() -> PlatformConfig {
-    let (mut all, mut least) = (Vec::new(), platform());
-    pointers(&least, "", &mut all);
+/// The platform's file without all optional keys.
+fn minimal_config() -> PlatformConfig {
+    let (mut all, mut minimal) = (Vec::new(), platform());
+    pointers(&minimal, "", &mut all);
     for at in all {
-        let (mut without, (parent, key)) = (least.clone(), at.rsplit_once('/').unwrap());
+        let (mut without, (parent, key)) = (minimal.clone(), at.rsplit_once('/').unwrap());
         if let Some(Value::Object(map)) = without.pointer_mut(parent) {
             map.remove(key);
         }
         if config(without.clone()).is_ok() {
-            least = without;
+            minimal = without;
         }
     }
-    config(least).unwrap()
+    config(minimal).unwrap()
 }
 
 #[test]
-fn least_platform_file_has_the_recorded_defaults() {
-    let config = least_config();
+fn minimal_platform_file_has_the_recorded_defaults() {
+    let config = minimal_config();
     let known = &config.known_endpoints;
     assert_eq!(
         (config.seed, config.max_descriptors, config.max_memory_bytes),
@@ -324,8 +330,8 @@
 }
 
 #[test]
-fn least_platform_settings_have_the_recorded_defaults() {
-    let config = least_config();
+fn minimal_platform_settings_have_the_recorded_defaults() {
+    let config = minimal_config();
     let (settings, policy) = (&config.settings, &config.settings.policy);
     assert_eq!(
         (
--- a/src/daemon/config/reload.rs
+++ b/src/daemon/config/reload.rs
@@ -1,8 +1,7 @@
-//! Reads both configuration files again at SIGHUP.
+//! Reloads both configuration files on SIGHUP.
 //!
-//! Owner: the lifecycle driver, which receives the signal. Input: the files. Output: the address of discovery and the
-//! operator's configuration, each in a watch channel. Invariant: an invalid file, such as one that is only partly written,
-//! changes nothing that it configures. Of the platform's file only `discovery` is reloaded; its other keys take effect at
+//! The reloader publishes the address of discovery and the operator's configuration in watch channels. An invalid file, such
+//! as a partly written one, is ignored. From the platform's file only `discovery` is reloaded; its other keys take effect at
 //! the next start.
 
 use std::net::SocketAddr;
@@ -14,10 +13,10 @@
 use crate::config::platform::{PlatformConfig, PlatformFile};
 use crate::config::ConfigError;
 
-/// The paths of both files, and the senders of what a reload changes.
+/// Reads the configuration files again and publishes the values that a reload can change.
 pub(crate) struct ConfigReloader {
     platform_path: String,
-    /// The address of discovery in the platform's file, as it was last read.
+    /// The address of discovery in the platform's file when it was last read.
     discovery_in_file: SocketAddr,
     discovery: watch::Sender<SocketAddr>,
     /// The operator's file, if there is one.
@@ -25,7 +24,7 @@
     operator_config: watch::Sender<Arc<OperatorConfig>>,
 }
 
-/// The receivers of what a reload changes.
+/// Receivers of the values that a reload can change.
 pub(crate) struct ReloadedConfig {
     /// The address of discovery.
     pub discovery: watch::Receiver<SocketAddr>,
@@ -34,7 +33,7 @@
 }
 
 impl ConfigReloader {
-    /// A reloader of the files that both configurations were read from.
+    /// Creates a reloader for the files that both configurations were read from.
     pub(crate) fn new(
         platform_config: &PlatformConfig,
         operator_config: OperatorConfig,
@@ -82,7 +81,7 @@
                 return tracing::warn!(%error, "platform configuration not reloaded");
             }
         };
-        // GW_DISCOVERY overrides the address that the file had at the start, not one that the file was changed to.
+        // GW_DISCOVERY overrides the address that the file had at the start, but not a later change of the file.
         if std::mem::replace(&mut self.discovery_in_file, discovery) == discovery {
             return tracing::info!("platform configuration reloaded, discovery address unchanged");
         }
@@ -90,13 +89,14 @@
         self.discovery.send_replace(discovery);
     }
 
-    /// The address of discovery in the platform's file, if all of the file is valid.
+    /// Reads the address of discovery from the platform's file; the whole file has to be valid.
     fn read_discovery(&self) -> Result<SocketAddr, ConfigError> {
         let file = PlatformFile::read(&self.platform_path)?;
-        let config = PlatformConfig::try_from(file).map_err(|source| ConfigError::InFile {
-            path: self.platform_path.clone(),
-            source,
-        })?;
+        let config =
+            PlatformConfig::try_from(file).map_err(|source| ConfigError::InvalidValue {
+                path: self.platform_path.clone(),
+                source,
+            })?;
         Ok(config.discovery)
     }
 }
--- a/src/daemon/main.rs
+++ b/src/daemon/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's program: runs the sub-command that the command line names, and exits with its status.
+//! Entry point of the daemon: runs the sub-command and returns its exit status.
 
 mod admin;
 mod cli;
@@ -26,13 +26,14 @@
     match cli::run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(CommandError::Serve(error)) => {
-            // Without effect if the operator's file has initialized the log.
+            // Has no effect if `serve` has already initialized the log.
             logging::init(logging::LogFormat::Text);
             tracing::error!(%error, "process failed");
             ExitCode::FAILURE
         }
         Err(error) => {
-            // Not a log event: the answer to whoever typed the command. A closed standard error must not panic.
+            // Printed without the log, for the user of the command line. Unlike `eprintln!`, this does not panic if standard
+            // error is closed.
             let _ = writeln!(io::stderr(), "applewall: {error}");
             ExitCode::FAILURE
         }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -68,7 +68,7 @@
     }
     let inside = [
         (r#"["Nonsense",3]"#, "unknown event 'Nonsense'"),
-        (r#"["Alarm",4,"9"]"#, "no instance 4"),
+        (r#"["Alarm",4,"9"]"#, "unknown node 4"),
         (r#"["Alarm",3,9]"#, "'cookie' is not text"),
         (r#"["Alarm",3,"x"]"#, "no cookie of ours"),
         (r#"["Boot","3",7,{}]"#, "'who' is not a whole number"),
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -90,7 +90,11 @@
     let cases = [
         ("\"settings\"", "\"other\"", "missing field `settings`"),
         ("\"name\": \"n0\"", "\"name\": 0", "expected a string"),
-        ("8c1f30d27a5be964", "xyz", "seed: 'xyz' is not hex digits"),
+        (
+            "8c1f30d27a5be964",
+            "xyz",
+            "seed: 'xyz' is not a hexadecimal number",
+        ),
         (
             "\"sockets\": 1024",
             "\"sockets\": 3",
