--- a/src/daemon/discovery/registry/merged_list.rs
+++ b/src/daemon/discovery/registry/merged_list.rs
@@ -226,7 +226,7 @@
             return;
         }
         if !all_stale {
-            return tracing::info!("endpoint list current again");
+            return tracing::info!("endpoint list is current again");
         }
         let seconds = |age: Option<Duration>| {
             age.map_or(NEVER_REPORTED, |age| {
@@ -234,7 +234,7 @@
             })
         };
         let ages: Vec<i64> = self.membership.ages(now).into_iter().map(seconds).collect();
-        tracing::warn!(age_seconds = ?ages, "endpoint list stale: no source current");
+        tracing::warn!(age_seconds = ?ages, "endpoint list is stale: no source is current");
     }
 }
 
--- a/src/daemon/lifecycle/hot_restart.rs
+++ b/src/daemon/lifecycle/hot_restart.rs
@@ -120,7 +120,7 @@
         Err(error) => {
             // A killed process leaves its socket behind; `HotRestart::listen` replaces it.
             if error.kind() != io::ErrorKind::NotFound {
-                tracing::info!(path = %path.display(), %error, "hot restart: no old process listens");
+                tracing::info!(path = %path.display(), %error, "hot restart: no old process is listening");
             }
             return None;
         }
--- a/src/daemon/system/peer_socket.rs
+++ b/src/daemon/system/peer_socket.rs
@@ -1,8 +1,8 @@
 //! The UDP socket for messages between the nodes of a fleet.
 //!
-//! The engine and the startup schedule send through it; one task receives datagrams for the engine. Sending never blocks. A
-//! received datagram is dropped if it is malformed, if its sender is not a configured peer, or if the engine's queue is full.
-//! The protocols on top of it tolerate loss.
+//! The engine and the startup schedule send through it; one task receives datagrams for the engine. Sending never blocks.
+//! A received datagram is dropped if it is malformed, if its sender is not a configured peer, or if the engine's queue is
+//! full. The protocols on top of it tolerate loss.
 
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Receives datagrams until the role's owner is dropped. Reads only while this process is active, since otherwise the new
-    /// process reads the shared socket.
+    /// Receives datagrams until the role's owner is dropped. Reads only while this process is active, since otherwise the
+    /// new process reads the shared socket.
     pub(crate) async fn receive(
         self: Arc<Self>,
         queue: mpsc::Sender<Message>,
@@ -200,7 +200,7 @@
         let now = Instant::now();
         let last = self.last_received.replace(now);
         if last.is_none_or(|last| now - last > UNKNOWN_SENDER_LOG_INTERVAL) {
-            tracing::warn!(%sender, "datagram of an unknown sender dropped");
+            tracing::warn!(%sender, "datagram from unknown sender dropped");
         }
     }
 }
