--- a/src/daemon/admin/handle/tests.rs
+++ b/src/daemon/admin/handle/tests.rs
@@ -18,7 +18,7 @@
 
 /// Guards against an answer that blames a takeover when the process only lacks an endpoint list.
 #[test]
-fn ready_names_what_the_process_waits_for() {
+fn ready_answer_says_why_the_process_is_not_ready() {
     let answer = |ready, has_endpoints| handle(ready, has_endpoints).ready().to_string();
     assert!(answer(false, true).contains("takes over"));
     assert!(answer(false, false).contains("takes over"));
--- a/src/daemon/admin/maintenance/tests.rs
+++ b/src/daemon/admin/maintenance/tests.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn unknown_ids_are_errors_and_a_return_without_maintenance_changes_nothing() {
+fn unknown_ids_are_rejected_and_returning_an_endpoint_not_in_maintenance_changes_nothing() {
     let mut filter = MaintenanceFilter::default();
     states(
         &mut filter,
--- a/src/daemon/clock/wall_clock.rs
+++ b/src/daemon/clock/wall_clock.rs
@@ -18,7 +18,7 @@
 const MAX_PERIODS: usize = 16;
 /// Maximum number of cached conversions, which is above the number of endpoints of the largest fleet. The earliest time is
 /// dropped.
-const MAX_CONVERTED: usize = 8_192;
+const MAX_CACHED_CONVERSIONS: usize = 8_192;
 
 /// A reading of the wall clock between two readings of the monotonic clock.
 #[derive(Clone, Copy, Debug)]
@@ -129,7 +129,7 @@
             .or_else(|| newest_first().map(convert).max())
             .unwrap_or(now_ns);
         let monotonic_ns = monotonic_ns.min(now_ns);
-        if self.converted.len() == MAX_CONVERTED {
+        if self.converted.len() == MAX_CACHED_CONVERSIONS {
             self.converted.pop_first();
         }
         self.converted.insert(unix_ms, monotonic_ns);
--- a/src/daemon/clock/wall_clock/tests.rs
+++ b/src/daemon/clock/wall_clock/tests.rs
@@ -103,7 +103,7 @@
         monotonic_ms(&mut history, second, UNIX + second as u64);
     }
     assert_eq!(history.periods.len(), MAX_PERIODS);
-    assert_eq!(history.converted.len(), MAX_CONVERTED);
+    assert_eq!(history.converted.len(), MAX_CACHED_CONVERSIONS);
 }
 
 /// Guards against a difference between two Unix times that depends on when each was converted.
--- a/src/daemon/discovery/registry.rs
+++ b/src/daemon/discovery/registry.rs
@@ -52,7 +52,7 @@
     let known = config.known_endpoints.entries(&config.settings, &clock);
     let settings = config.settings.clone();
     let list = MergedList::new(&known, max_age(&operator), settings, clock);
-    let merge = Merge {
+    let merge = SourceMerger {
         list: Mutex::new(list),
         changed: Notify::new(),
         snapshots: operator.registry.snapshot.as_deref().map(SnapshotFile::new),
@@ -80,7 +80,7 @@
 struct EngineEnded;
 
 /// Merges the sources and sends the changes to the engine.
-struct Merge {
+struct SourceMerger {
     /// Locked for one operation at a time, never across an await.
     list: Mutex<MergedList>,
     /// Notified when a source has reported.
@@ -92,7 +92,7 @@
     queue: mpsc::Sender<Message>,
 }
 
-impl Merge {
+impl SourceMerger {
     /// Watches all sources until the engine has ended.
     async fn run(self, known: Vec<EndpointEntry>, discovery_updates: mpsc::Receiver<Message>) {
         // The engine already has the known endpoints. They count as discovery's list until discovery reports another.
@@ -112,7 +112,7 @@
         self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the list and wakes [`Merge::publish`] to send the resulting changes.
+    /// Changes the list and wakes [`SourceMerger::publish`] to send the resulting changes.
     fn apply<T>(&self, change: impl FnOnce(&mut MergedList) -> T) -> T {
         let result = change(&mut self.list());
         self.changed.notify_one();
--- a/src/daemon/discovery/registry/merged_list/tests.rs
+++ b/src/daemon/discovery/registry/merged_list/tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn endpoints_that_the_engine_has_are_no_changes() {
+fn known_endpoints_cause_no_changes() {
     let known = vec![entry("a", Some(1), EndpointState::Ready)];
     let mut list = list(&known);
     list.apply_discovery(EndpointUpdateKind::Cached, known);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn member_of_the_first_full_list_is_not_taken_for_newly_started() {
+fn member_of_the_first_full_list_is_not_treated_as_newly_started() {
     let mut list = list(&[]);
     let member = |id: &str, revision| MemberUpdate {
         id: id.to_string(),
--- a/src/daemon/discovery/watch.rs
+++ b/src/daemon/discovery/watch.rs
@@ -30,7 +30,7 @@
 
 use connection::{CallFailure, WatchConnection, WatchError, WatchEvent};
 use machine::{AvailabilityChange, CallScheduling, WatchAction, WatchInput, WatchMachine};
-use timing::{first_call_window, WatchTiming, SERVICE};
+use timing::{first_call_window, WatchTiming, SERVICE_TIMING};
 
 /// Initial state and options of the watch.
 pub(crate) struct WatchStart {
@@ -177,7 +177,7 @@
     /// How long after the end of its wait an answer may arrive.
     fn answer_margin(&self) -> Duration {
         match self.schedule {
-            Some(_) => SERVICE.answer_margin,
+            Some(_) => SERVICE_TIMING.answer_margin,
             None => self.timing.answer_margin,
         }
     }
--- a/src/daemon/discovery/watch/connection/tests.rs
+++ b/src/daemon/discovery/watch/connection/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn full_list_is_a_snapshot_whatever_revision_is_known() {
+fn full_list_is_a_snapshot_for_any_known_revision() {
     for known in [None, Some(1), Some(9)] {
         let event = classify_answer(known, list(5, true));
         assert!(matches!(event, Ok(WatchEvent::Snapshot(list)) if list.revision == 5));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn rejection_names_its_status_and_the_time_to_call_again() {
+fn rejection_has_its_status_and_retry_after() {
     let error = WatchError::Rejected {
         status: StatusCode::SERVICE_UNAVAILABLE,
         retry_after_seconds: Some(1.5),
--- a/src/daemon/discovery/watch/machine.rs
+++ b/src/daemon/discovery/watch/machine.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 use super::connection::{CallFailure, WatchEvent};
-use super::timing::{WatchTiming, SERVICE};
+use super::timing::{WatchTiming, SERVICE_TIMING};
 
 /// What determines when calls are made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -203,7 +203,7 @@
             CallScheduling::Fleet => None,
         };
         WatchState::Connecting {
-            timeout: first_call_timeout.unwrap_or(SERVICE.answer_margin),
+            timeout: first_call_timeout.unwrap_or(SERVICE_TIMING.answer_margin),
             first_call_deadline: first_call_timeout.map(|timeout| now + timeout),
         }
     }
--- a/src/daemon/discovery/watch/machine/tests.rs
+++ b/src/daemon/discovery/watch/machine/tests.rs
@@ -1,6 +1,6 @@
 //! Transitions of the watch: connections, calls, failures, and the known revision after each.
 
-use super::super::timing::AGENT;
+use super::super::timing::AGENT_TIMING;
 use super::*;
 use crate::discovery::endpoint_list::EndpointList;
 
@@ -35,8 +35,8 @@
 #[test]
 fn first_call_to_an_agent_has_a_deadline_that_counts_from_the_connection_attempt() {
     let now = Instant::now();
-    let mut machine = machine(AGENT, CallScheduling::PerNode, now);
-    let timeout = AGENT.first_call_timeout.unwrap();
+    let mut machine = machine(AGENT_TIMING, CallScheduling::PerNode, now);
+    let timeout = AGENT_TIMING.first_call_timeout.unwrap();
     assert_eq!(machine.next_action(), WatchAction::Connect { timeout });
     machine.handle(now + timeout / 2, WatchInput::Connected);
     assert_eq!(
@@ -57,11 +57,11 @@
 fn service_and_scheduled_calls_begin_with_the_full_list() {
     let now = Instant::now();
     for (timing, scheduling) in [
-        (SERVICE, CallScheduling::PerNode),
-        (AGENT, CallScheduling::Fleet),
+        (SERVICE_TIMING, CallScheduling::PerNode),
+        (AGENT_TIMING, CallScheduling::Fleet),
     ] {
         let mut machine = machine(timing, scheduling, now);
-        let timeout = SERVICE.answer_margin;
+        let timeout = SERVICE_TIMING.answer_margin;
         assert_eq!(machine.next_action(), WatchAction::Connect { timeout });
         machine.handle(now, WatchInput::Connected);
         assert_eq!(machine.next_action(), WatchAction::ReadList);
@@ -71,7 +71,7 @@
 #[test]
 fn loss_and_recovery_are_each_reported_once() {
     let now = Instant::now();
-    let mut machine = following(SERVICE, CallScheduling::PerNode, now);
+    let mut machine = following(SERVICE_TIMING, CallScheduling::PerNode, now);
     let failed = WatchInput::Failed(CallFailure::TimedOut);
     let reported: Vec<_> = (0..3).map(|_| machine.handle(now, failed)).collect();
     assert_eq!(reported, [Some(AvailabilityChange::Lost), None, None]);
@@ -96,7 +96,7 @@
         (CallScheduling::Fleet, CallFailure::ConnectionLost, Some(5)),
     ];
     for (scheduling, failure, revision) in cases {
-        let mut machine = following(SERVICE, scheduling, now);
+        let mut machine = following(SERVICE_TIMING, scheduling, now);
         machine.handle(now, WatchInput::Failed(failure));
         assert_eq!(
             machine.revision, revision,
@@ -108,7 +108,7 @@
 #[test]
 fn restarted_revisions_lead_to_the_full_list_on_the_same_connection() {
     let now = Instant::now();
-    let mut machine = following(SERVICE, CallScheduling::PerNode, now);
+    let mut machine = following(SERVICE_TIMING, CallScheduling::PerNode, now);
     let restarted = WatchInput::EventReceived(&WatchEvent::RevisionsRestarted);
     assert_eq!(machine.handle(now, restarted), None);
     assert_eq!(machine.next_action(), WatchAction::ReadList);
@@ -117,7 +117,7 @@
 #[test]
 fn retry_delay_grows_until_discovery_answers_and_then_starts_again() {
     let now = Instant::now();
-    let mut machine = following(SERVICE, CallScheduling::PerNode, now);
+    let mut machine = following(SERVICE_TIMING, CallScheduling::PerNode, now);
     let delay_after_failure = |machine: &mut WatchMachine| {
         machine.handle(now, WatchInput::Failed(REJECTED));
         match machine.next_action() {
--- a/src/daemon/discovery/watch/tests.rs
+++ b/src/daemon/discovery/watch/tests.rs
@@ -2,7 +2,7 @@
 
 use tokio::io::AsyncReadExt;
 
-use super::timing::AGENT;
+use super::timing::AGENT_TIMING;
 use super::*;
 
 /// The platform counts a change as reported this long after the agent stopped answering.
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn first_call_leaves_time_to_respect_a_drain_however_large_the_fleet() {
+fn first_call_window_leaves_time_to_respect_a_drain_for_any_fleet_size() {
     for (fleet, window_ms) in [(2, 20), (3, 25), (300, 25), (10_000, 25)] {
         // At most 1/20 of the notice; the rest is for a slow start, the answer and connections being established.
         assert_eq!(
@@ -41,18 +41,18 @@
 }
 
 #[test]
-fn silent_watch_is_replaced_before_the_notice_of_a_missed_drain_runs() {
+fn silent_agent_is_retried_before_a_missed_drain_counts_as_reported() {
     let WatchTiming {
         watch_wait,
         answer_margin,
         ..
-    } = AGENT;
-    let call = AGENT.first_call_timeout(Duration::ZERO).unwrap();
+    } = AGENT_TIMING;
+    let call = AGENT_TIMING.first_call_timeout(Duration::ZERO).unwrap();
     // The agent falls silent at the time of the call or just before its answer; both are detected by this time.
     let detected = watch_wait + answer_margin;
     let reported = REPORTED_AFTER_SILENCE.max(watch_wait + REPORTED_AFTER_WAIT);
     // The retry delay, two further calls without an answer, and one that is answered at its deadline.
-    let answered = detected + longest_delay(AGENT, 300, TIMED_OUT, 0) + 3 * call;
+    let answered = detected + longest_delay(AGENT_TIMING, 300, TIMED_OUT, 0) + 3 * call;
     assert!(answered < reported, "{answered:?} of {reported:?}");
     // The agent falls silent just before the end of the wait, so the limit counts from the end of the wait.
     let answered = answer_margin + 3 * call;
@@ -67,51 +67,53 @@
     for fleet in [3, 300, 10_000] {
         for retries in 0..20 {
             // The agent was silent for 8 s and answers again just after a call began.
-            let call = AGENT.first_call_timeout(Duration::from_secs(8)).unwrap();
-            let delay = longest_delay(AGENT, fleet, TIMED_OUT, retries);
+            let call = AGENT_TIMING
+                .first_call_timeout(Duration::from_secs(8))
+                .unwrap();
+            let delay = longest_delay(AGENT_TIMING, fleet, TIMED_OUT, retries);
             assert!(
                 delay + call <= DRAIN_NOTICE * 3 / 5,
                 "{delay:?} and {call:?}, {fleet} nodes, {retries} retries"
             );
             // The agent refused a connection and accepts connections just after that.
-            let delay = longest_delay(AGENT, fleet, CONNECTION_LOST, retries);
+            let delay = longest_delay(AGENT_TIMING, fleet, CONNECTION_LOST, retries);
             assert!(
                 delay <= DRAIN_NOTICE / 2,
                 "{delay:?}, {fleet} nodes, {retries} retries"
             );
         }
         assert_eq!(
-            AGENT.retry_delay(fleet, CONNECTION_LOST, 0),
+            AGENT_TIMING.retry_delay(fleet, CONNECTION_LOST, 0),
             Duration::ZERO,
             "the first retry is immediate"
         );
     }
     // From the second retry on, connections are not attempted without a delay.
-    assert!(AGENT.retry_delay(3, CONNECTION_LOST, 1) >= Duration::from_millis(25));
+    assert!(AGENT_TIMING.retry_delay(3, CONNECTION_LOST, 1) >= Duration::from_millis(25));
 }
 
 #[test]
-fn slow_agent_is_given_time_to_answer_in_the_end() {
+fn first_call_timeout_grows_for_a_slow_agent() {
     assert_eq!(
-        AGENT.first_call_timeout(Duration::from_secs(60)),
+        AGENT_TIMING.first_call_timeout(Duration::from_secs(60)),
         Some(Duration::from_millis(1500))
     );
     assert_eq!(
-        AGENT.first_call_timeout(Duration::from_secs(600)),
+        AGENT_TIMING.first_call_timeout(Duration::from_secs(600)),
         Some(Duration::from_secs(2))
     );
 }
 
 #[test]
-fn silent_service_is_called_again_within_two_seconds_however_large_the_fleet() {
+fn silent_service_is_called_again_within_two_seconds_for_any_fleet_size() {
     for fleet in [3, 30, 300, 10_000] {
         for retries in 0..20 {
-            let after_timeout = SERVICE.retry_delay(fleet, TIMED_OUT, retries);
+            let after_timeout = SERVICE_TIMING.retry_delay(fleet, TIMED_OUT, retries);
             assert!(
                 after_timeout.mul_f64(MAX_JITTER) <= Duration::from_millis(1500),
                 "{after_timeout:?}, {fleet} nodes"
             );
-            let after_refusal = SERVICE.retry_delay(fleet, CONNECTION_LOST, retries);
+            let after_refusal = SERVICE_TIMING.retry_delay(fleet, CONNECTION_LOST, retries);
             assert!(
                 after_refusal >= after_timeout,
                 "{after_refusal:?}, {fleet} nodes: a refusal spares the service"
@@ -121,8 +123,8 @@
 }
 
 #[test]
-fn rejected_fleet_calls_no_more_often_the_larger_it_is() {
-    for timing in [SERVICE, AGENT] {
+fn call_rate_after_rejections_does_not_grow_with_the_fleet_size() {
+    for timing in [SERVICE_TIMING, AGENT_TIMING] {
         let first_and_longest = |fleet| {
             let delay = |retries| timing.retry_delay(fleet, REJECTED, retries);
             (delay(0), delay(9))
@@ -157,7 +159,7 @@
 /// Guards against requesting, from a new address of discovery, the changes since a revision of the old one: they would
 /// apply to a list that this node does not have.
 #[tokio::test]
-async fn address_that_changes_before_the_first_call_is_asked_for_the_full_list() {
+async fn full_list_is_requested_from_an_address_that_changed_before_the_first_call() {
     for changes in [false, true] {
         let old = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let new = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/src/daemon/discovery/watch/timing.rs
+++ b/src/daemon/discovery/watch/timing.rs
@@ -1,7 +1,7 @@
 //! Timeouts and retry delays of the endpoint list watch, without I/O and without a clock.
 //!
 //! They are chosen so that the node learns of a drain in time to respect it, even if discovery was silent when the drain
-//! began (see [`AGENT`]).
+//! began (see [`AGENT_TIMING`]).
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 /// to stop sending to the endpoint. A silent agent is detected after `watch_wait + answer_margin` = 3.5 s. Each retry then
 /// takes `first_call_timeout` = 0.3 s and follows the previous one without delay, which allows eight retries before 6.5 s.
 /// An agent that answers again is called within 0.3 s.
-pub(super) const AGENT: WatchTiming = WatchTiming {
+pub(super) const AGENT_TIMING: WatchTiming = WatchTiming {
     watch_wait: Duration::from_secs(3),
     answer_margin: Duration::from_millis(500),
     first_call_timeout: Some(Duration::from_millis(300)),
@@ -30,7 +30,7 @@
 ///
 /// All nodes of the fleet call the same service, which would stay overloaded if all of them retried at once. The retry
 /// delays therefore grow with the number of nodes.
-pub(super) const SERVICE: WatchTiming = WatchTiming {
+pub(super) const SERVICE_TIMING: WatchTiming = WatchTiming {
     watch_wait: Duration::from_secs(5),
     answer_margin: Duration::from_secs(2),
     first_call_timeout: None,
@@ -95,9 +95,9 @@
     /// the list is pushed to an agent.
     pub(super) fn for_subscription(subscribes: bool) -> Self {
         if subscribes {
-            SERVICE
+            SERVICE_TIMING
         } else {
-            AGENT
+            AGENT_TIMING
         }
     }
 
@@ -129,7 +129,7 @@
     /// Timeout of the first call on a connection after discovery has been lost for `lost_for`.
     pub(super) fn first_call_timeout(&self, lost_for: Duration) -> Option<Duration> {
         self.first_call_timeout.map(|min_timeout| {
-            (lost_for / FIRST_CALL_TIMEOUT_DIVISOR).clamp(min_timeout, SERVICE.answer_margin)
+            (lost_for / FIRST_CALL_TIMEOUT_DIVISOR).clamp(min_timeout, SERVICE_TIMING.answer_margin)
         })
     }
 }
--- a/src/daemon/lifecycle/hot_restart.rs
+++ b/src/daemon/lifecycle/hot_restart.rs
@@ -34,7 +34,7 @@
 
 /// Timeout of each exchange for which the other process does no work. Both run on one host, so a process that takes longer
 /// is hanging.
-const STEP_TIMEOUT: Duration = Duration::from_secs(2);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout from the end of the transfer until the new process reports that it has taken over. In this time it decodes the
 /// state and opens its sockets; a new process that takes longer counts as failed.
 const TAKE_OVER_TIMEOUT: Duration = Duration::from_secs(10);
@@ -49,7 +49,7 @@
     /// The connection to the old process failed.
     #[error("the connection to the old process failed: {0}")]
     Connection(#[from] io::Error),
-    /// The old process did not send the state within [`STEP_TIMEOUT`].
+    /// The old process did not send the state within [`EXCHANGE_TIMEOUT`].
     #[error("the old process did not send its state in time")]
     Timeout,
     /// The old process closed the connection before the header was complete.
@@ -69,7 +69,7 @@
     /// The connection to the new process failed.
     #[error("the connection to the new process failed: {0}")]
     Connection(#[from] io::Error),
-    /// The new process sent no greeting within [`STEP_TIMEOUT`].
+    /// The new process sent no greeting within [`EXCHANGE_TIMEOUT`].
     #[error("the new process sent no greeting in time")]
     GreetingTimeout,
     /// The new process sent an unknown greeting.
@@ -84,7 +84,7 @@
     /// The state cannot be encoded.
     #[error("the state of this process cannot be encoded: {0}")]
     Unencodable(#[source] postcard::Error),
-    /// The new process did not read the state within [`STEP_TIMEOUT`].
+    /// The new process did not read the state within [`EXCHANGE_TIMEOUT`].
     #[error("the new process did not read the state in time")]
     SendTimeout,
     /// The new process closed the connection, or sent a line other than [`TAKEN_OVER`].
@@ -125,7 +125,7 @@
             return None;
         }
     };
-    let received = timeout(STEP_TIMEOUT, transfer::receive(stream))
+    let received = timeout(EXCHANGE_TIMEOUT, transfer::receive(stream))
         .await
         .unwrap_or(Err(ReceiveError::Timeout));
     received
@@ -185,7 +185,7 @@
             let mut confirmation = [0; CONFIRMATION.len()];
             stream.read_exact(&mut confirmation).await
         };
-        if let Ok(Ok(_)) = timeout(STEP_TIMEOUT, exchange).await {
+        if let Ok(Ok(_)) = timeout(EXCHANGE_TIMEOUT, exchange).await {
             return Some(stream);
         }
         tracing::warn!("hot restart: old process did not confirm the takeover");
@@ -202,7 +202,7 @@
                 accepted = listener.accept() => accepted,
             };
             let Ok((stream, _)) = accepted else {
-                tokio::time::sleep(STEP_TIMEOUT).await;
+                tokio::time::sleep(EXCHANGE_TIMEOUT).await;
                 continue;
             };
             let Err(error) = self.hand_over(stream).await;
@@ -246,7 +246,7 @@
         let pending = self.role.begin_transfer();
         let state = self.export_state().await?;
         timeout(
-            STEP_TIMEOUT,
+            EXCHANGE_TIMEOUT,
             transfer::send(&mut stream, &state, self.peers.as_deref()),
         )
         .await
@@ -279,7 +279,7 @@
     /// leaves its socket behind, but nothing listens there.
     async fn another_process_listens(&self) -> bool {
         let path = self.shared_directory.hot_restart_socket();
-        let Ok(Ok(stream)) = timeout(STEP_TIMEOUT, UnixStream::connect(path)).await else {
+        let Ok(Ok(stream)) = timeout(EXCHANGE_TIMEOUT, UnixStream::connect(path)).await else {
             return false;
         };
         let own_id = i32::try_from(std::process::id()).ok();
--- a/src/daemon/lifecycle/hot_restart/command_link.rs
+++ b/src/daemon/lifecycle/hot_restart/command_link.rs
@@ -77,12 +77,12 @@
         let (sender, mut commands) = mpsc::channel(QUEUE_CAPACITY);
         self.other_process.send_replace(Some(sender));
         // Ends when the connection closes or a line cannot be parsed.
-        while self.step(&mut commands).await.is_some() {}
+        while self.handle_next(&mut commands).await.is_some() {}
         self.other_process.send_replace(None);
     }
 
     /// Handles one line or one command to be relayed; `None` ends the link.
-    async fn step(&mut self, commands: &mut mpsc::Receiver<RelayedCommand>) -> Option<()> {
+    async fn handle_next(&mut self, commands: &mut mpsc::Receiver<RelayedCommand>) -> Option<()> {
         let line = tokio::select! {
             line = self.lines.next_line() => line.ok()??,
             Some(relayed) = commands.recv() => return self.send_command(relayed).await,
--- a/src/daemon/lifecycle/hot_restart/command_link/tests.rs
+++ b/src/daemon/lifecycle/hot_restart/command_link/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn lines_of_the_other_process_are_read_or_end_the_link() {
+fn lines_of_the_other_process_are_parsed_or_rejected() {
     let command = "DISABLE s-1";
     assert_eq!(
         Line::parse("call 7 DISABLE s-1"),
--- a/src/daemon/lifecycle/hot_restart/golden.rs
+++ b/src/daemon/lifecycle/hot_restart/golden.rs
@@ -8,8 +8,8 @@
 use tokio::sync::watch;
 use transfer::receive;
 
-const STATE: &[u8] = include_bytes!("../../../../tests/golden/estate.bin");
-const LINES: &str = include_str!("../../../../tests/golden/succession.txt");
+const RECORDED_STATE: &[u8] = include_bytes!("../../../../tests/golden/estate.bin");
+const RECORDED_LINES: &str = include_str!("../../../../tests/golden/succession.txt");
 const POLICY_STATE: &[u8] = b"\x00what the module keeps\xff";
 
 type Fields<'a> = (
@@ -159,9 +159,12 @@
 }
 
 #[test]
-fn transferred_state_is_read_and_written_again_to_the_same_bytes() {
-    assert_eq!(postcard::to_stdvec(&transferred_state()).unwrap(), STATE);
-    assert_complete(&postcard::from_bytes(STATE).unwrap());
+fn transferred_state_decodes_and_encodes_to_the_recorded_bytes() {
+    assert_eq!(
+        postcard::to_stdvec(&transferred_state()).unwrap(),
+        RECORDED_STATE
+    );
+    assert_complete(&postcard::from_bytes(RECORDED_STATE).unwrap());
 }
 
 /// Plays the new process's side of the recorded lines against the old process.
@@ -198,10 +201,13 @@
     }
 
     async fn expect_state(&mut self, line: &str) {
-        let mut bytes = vec![0; 8 + STATE.len()];
+        let mut bytes = vec![0; 8 + RECORDED_STATE.len()];
         self.reading.read_exact(&mut bytes).await.unwrap();
-        assert_eq!(bytes, framed(b"AWE1", STATE.len(), STATE));
-        assert_eq!(line, format!("AWE1 {:08x} estate.bin", STATE.len()));
+        assert_eq!(bytes, framed(b"AWE1", RECORDED_STATE.len(), RECORDED_STATE));
+        assert_eq!(
+            line,
+            format!("AWE1 {:08x} estate.bin", RECORDED_STATE.len())
+        );
     }
 }
 
@@ -215,7 +221,7 @@
 
 /// The old process sends each recorded line unchanged, and the state with its header.
 #[tokio::test]
-async fn new_process_is_sent_the_state_in_the_same_lines() {
+async fn old_process_sends_the_recorded_lines_and_state() {
     let (near, far) = UnixStream::pair().unwrap();
     let (hot_restart, mut receivers) = hot_restart();
     let other_process = hot_restart.admin.other_process.clone();
@@ -235,7 +241,7 @@
         writing,
     };
     let recorded = async {
-        for line in LINES.lines() {
+        for line in RECORDED_LINES.lines() {
             new_process.replay(line, &other_process).await;
         }
     };
@@ -252,25 +258,28 @@
 
 /// The new process sends its greeting, and accepts or rejects the old process's answer.
 #[tokio::test]
-async fn framed_state_is_received_and_any_other_refused_with_its_reason() {
-    let length = STATE.len();
+async fn valid_state_is_received_and_any_other_is_rejected_with_an_error() {
+    let length = RECORDED_STATE.len();
     let other_version = "the old process speaks another protocol version";
     let truncated =
         "the state of the old process cannot be decoded: Hit the end of buffer, expected more data";
     let cases = [
-        (framed(b"AWE1", length, STATE), ""),
-        (framed(b"AWE0", length, STATE), other_version),
-        (framed(b"AWE2", length, STATE), other_version),
-        (framed(b"AWE1", (64 << 20) + 1, STATE), other_version),
+        (framed(b"AWE1", length, RECORDED_STATE), ""),
+        (framed(b"AWE0", length, RECORDED_STATE), other_version),
+        (framed(b"AWE2", length, RECORDED_STATE), other_version),
+        (
+            framed(b"AWE1", (64 << 20) + 1, RECORDED_STATE),
+            other_version,
+        ),
         (
-            framed(b"AWE1", length, STATE)[..7].into(),
+            framed(b"AWE1", length, RECORDED_STATE)[..7].into(),
             "the old process closed the connection before it sent its state",
         ),
         (
-            framed(b"AWE1", length, &STATE[1..]),
+            framed(b"AWE1", length, &RECORDED_STATE[1..]),
             "the connection to the old process failed: early eof",
         ),
-        (framed(b"AWE1", length - 1, STATE), truncated),
+        (framed(b"AWE1", length - 1, RECORDED_STATE), truncated),
         (framed(b"AWE1", 0, b""), truncated),
     ];
     for (bytes, reason) in cases {
@@ -293,7 +302,7 @@
 }
 
 #[tokio::test]
-async fn process_of_another_version_is_sent_nothing() {
+async fn new_process_of_another_version_receives_nothing() {
     for greeting in [
         "applewall succession 2\n",
         "applewall succession 0\n",
@@ -321,13 +330,13 @@
 }
 
 #[tokio::test]
-async fn process_that_finds_another_version_starts_with_nothing() {
+async fn new_process_starts_without_state_if_the_old_one_has_another_version() {
     let directory = hot_restart().0.shared_directory;
     let listener = UnixListener::bind(directory.hot_restart_socket()).unwrap();
     let answer = async {
         let (mut stream, _) = listener.accept().await.unwrap();
         stream
-            .write_all(&framed(b"AWE0", STATE.len(), STATE))
+            .write_all(&framed(b"AWE0", RECORDED_STATE.len(), RECORDED_STATE))
             .await
             .unwrap();
         let _ = stream.read_to_end(&mut Vec::new()).await;
--- a/src/daemon/lifecycle/hot_restart/transfer.rs
+++ b/src/daemon/lifecycle/hot_restart/transfer.rs
@@ -15,7 +15,7 @@
 use tokio::net::UnixStream;
 use tokio::time::timeout;
 
-use super::{HandOverError, ReceiveError, ReceivedTransfer, STEP_TIMEOUT};
+use super::{HandOverError, ReceiveError, ReceivedTransfer, EXCHANGE_TIMEOUT};
 use crate::system::peer_socket::PeerSocket;
 
 /// First line sent by the new process: name and version of the protocol. Its wording and that of [`FORMAT_MARK`] are part of
@@ -63,7 +63,7 @@
 /// Reads the greeting of the new process.
 pub(super) async fn read_greeting(stream: &mut UnixStream) -> Result<(), HandOverError> {
     let mut greeting = [0; GREETING.len()];
-    timeout(STEP_TIMEOUT, stream.read_exact(&mut greeting))
+    timeout(EXCHANGE_TIMEOUT, stream.read_exact(&mut greeting))
         .await
         .map_err(|_| HandOverError::GreetingTimeout)??;
     if greeting != GREETING.as_bytes() {
--- a/src/daemon/lifecycle/inherited_socket.rs
+++ b/src/daemon/lifecycle/inherited_socket.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 
 /// Environment variable with the descriptor number of the listening socket.
-const VARIABLE: &str = "GW_FD";
+const DESCRIPTOR_VARIABLE: &str = "GW_FD";
 /// Standard error, the highest descriptor that every process has. The platform passes its socket on a higher one.
 const LAST_STANDARD_DESCRIPTOR: RawFd = 2;
 
@@ -19,13 +19,13 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum InheritedSocketError {
     /// The variable's value is not the number of a descriptor above the standard ones.
-    #[error("{VARIABLE}: '{0}' is not the number of an inherited descriptor")]
+    #[error("{DESCRIPTOR_VARIABLE}: '{0}' is not the number of an inherited descriptor")]
     InvalidNumber(String),
     /// The descriptor is a socket that does not listen.
-    #[error("{VARIABLE}: the socket of descriptor {0} does not listen")]
+    #[error("{DESCRIPTOR_VARIABLE}: the socket of descriptor {0} does not listen")]
     NotListening(RawFd),
     /// The descriptor is not open, or is not a socket.
-    #[error("{VARIABLE}: descriptor {descriptor} is not a socket: {source}")]
+    #[error("{DESCRIPTOR_VARIABLE}: descriptor {descriptor} is not a socket: {source}")]
     NotSocket {
         /// The descriptor's number.
         descriptor: RawFd,
@@ -33,7 +33,7 @@
         source: io::Error,
     },
     /// The runtime cannot poll the socket.
-    #[error("{VARIABLE}: the inherited socket cannot be used: {0}")]
+    #[error("{DESCRIPTOR_VARIABLE}: the inherited socket cannot be used: {0}")]
     Listener(#[source] io::Error),
 }
 
@@ -43,7 +43,7 @@
 ///
 /// The variable's value is not the number of an open descriptor of a listening socket.
 pub(crate) fn descriptor() -> Result<Option<OwnedFd>, InheritedSocketError> {
-    let Some(text) = env::var_os(VARIABLE) else {
+    let Some(text) = env::var_os(DESCRIPTOR_VARIABLE) else {
         return Ok(None);
     };
     let text = text.to_string_lossy();
--- a/src/daemon/lifecycle/process_role/tests.rs
+++ b/src/daemon/lifecycle/process_role/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn shutdown_limits_the_answers_to_late_requests_alone() {
+fn shutdown_limits_only_answers_to_late_requests() {
     let begin = Instant::now();
     let after = |millis| begin + Duration::from_millis(millis);
     let times = ShutdownTimes {
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn command_without_another_process_is_relayed_to_nobody() {
+async fn command_without_another_process_is_not_relayed() {
     let (_link, other) = watch::channel(None);
     relay_command(&other, "DRAIN".to_string()).await;
 }
--- a/src/daemon/observability/event_counts.rs
+++ b/src/daemon/observability/event_counts.rs
@@ -1,7 +1,7 @@
 //! Counters of the reasons why connections were closed, attempts were not sent and requests were rejected.
 //!
-//! The code that ends a connection, an attempt or a request counts the event here; the statistics event logs the counts since
-//! the previous one. The counters are independent of each other, so relaxed ordering is sufficient.
+//! The code that ends a connection, an attempt or a request counts the event here; the statistics event logs the counts
+//! since the previous one. The counters are independent of each other, so relaxed ordering is sufficient.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/src/daemon/system/durable_file.rs
+++ b/src/daemon/system/durable_file.rs
@@ -8,8 +8,8 @@
 ///
 /// # Errors
 ///
-/// The operating system's error. If the write or the rename failed, the old file is unchanged, and `next` is removed, since a
-/// partial file would take up space on a full disk.
+/// The operating system's error. If the write or the rename failed, the old file is unchanged, and `next` is removed, since
+/// a partial file would take up space on a full disk.
 pub(crate) fn replace(next: &Path, path: &Path, bytes: &[u8]) -> io::Result<()> {
     let written = write(next, bytes).and_then(|()| std::fs::rename(next, path));
     if written.is_err() {
