--- a/src/daemon/discovery/endpoint_list.rs
+++ b/src/daemon/discovery/endpoint_list.rs
@@ -69,8 +69,8 @@
     UnknownState(String),
 }
 
-/// Rejected entries that were already logged. An entry is logged again only when its error changes, or after a full list
-/// without it.
+/// Rejected entries that were already logged. Such an entry is logged again only if its error changes, or after a full list
+/// without it. Entries beyond [`MAX_REPORTED_ENTRIES`] are not remembered.
 #[derive(Default)]
 pub(crate) struct ReportedEntries {
     entries: HashSet<String>,
--- a/src/daemon/lifecycle/hot_restart/golden.rs
+++ b/src/daemon/lifecycle/hot_restart/golden.rs
@@ -227,7 +227,7 @@
     let other_process = hot_restart.admin.other_process.clone();
     let engine = async {
         let Some(ControlMessage::ExportState(reply)) = receivers.control.recv().await else {
-            panic!("not asked")
+            panic!("expected a request to export the state")
         };
         let _ = reply.send(Ok(TransferredState {
             draining: false,
