--- a/src/daemon/discovery/endpoint_list.rs
+++ b/src/daemon/discovery/endpoint_list.rs
@@ -70,7 +70,7 @@
 }
 
 /// Rejected entries that were already logged. Such an entry is logged again only if its error changes, or after a full list
-/// without it. Entries beyond [`MAX_REPORTED_ENTRIES`] are not remembered.
+/// without it. A delta that would exceed [`MAX_REPORTED_ENTRIES`] is not remembered.
 #[derive(Default)]
 pub(crate) struct ReportedEntries {
     entries: HashSet<String>,
