--- a/src/daemon/lifecycle/hot_restart/golden.rs
+++ b/src/daemon/lifecycle/hot_restart/golden.rs
@@ -1,4 +1,4 @@
-//! What passes between two processes, byte for byte (`tests/golden`).
+//! Compares the bytes that two processes exchange in a hot restart with recorded ones (`tests/golden`).
 
 use super::*;
 use crate::lifecycle::process_role::{OtherProcess, ProcessRole, RelayedCommand};
@@ -8,8 +8,8 @@
 use tokio::sync::watch;
 use transfer::receive;
 
-const STATE: &[u8] = include_bytes!("../../../../tests/golden/estate.bin");
-const LINES: &str = include_str!("../../../../tests/golden/succession.txt");
+const RECORDED_STATE: &[u8] = include_bytes!("../../../../tests/golden/estate.bin");
+const RECORDED_LINES: &str = include_str!("../../../../tests/golden/succession.txt");
 const POLICY_STATE: &[u8] = b"\x00what the module keeps\xff";
 
 type Fields<'a> = (
@@ -114,12 +114,12 @@
     }
 }
 
-/// The head, and then these bytes.
+/// A header with a format mark and a length, followed by `bytes`.
 fn framed(mark: &[u8], length: usize, bytes: &[u8]) -> Vec<u8> {
     [mark, &(length as u32).to_be_bytes(), bytes].concat()
 }
 
-/// What a hot restart sends to, kept open for the length of a test.
+/// The receivers of a hot restart's channels, kept open during a test.
 struct Receivers {
     control: mpsc::Receiver<ControlMessage>,
     _others: Box<dyn std::any::Any>,
@@ -129,7 +129,7 @@
     let (control, control_receiver) = mpsc::channel(4);
     let (drain_requests, drain_receiver) = mpsc::channel(4);
     let (phase, phase_receiver) = watch::channel(LifecyclePhase::Draining);
-    let (yes, ready) = watch::channel(true);
+    let (ready_sender, ready) = watch::channel(true);
     let (role, role_receiver) = RoleOwner::new();
     let (other_process, other_process_receiver) = watch::channel(None);
     let admin = AdminHandle {
@@ -153,25 +153,28 @@
     };
     let receivers = Receivers {
         control: control_receiver,
-        _others: Box::new((drain_receiver, phase, yes, role_receiver)),
+        _others: Box::new((drain_receiver, phase, ready_sender, role_receiver)),
     };
     (hot_restart, receivers)
 }
 
 #[test]
-fn transferred_state_is_read_and_written_again_to_the_same_bytes() {
-    assert_eq!(postcard::to_stdvec(&transferred_state()).unwrap(), STATE);
-    assert_complete(&postcard::from_bytes(STATE).unwrap());
+fn transferred_state_decodes_and_encodes_to_the_recorded_bytes() {
+    assert_eq!(
+        postcard::to_stdvec(&transferred_state()).unwrap(),
+        RECORDED_STATE
+    );
+    assert_complete(&postcard::from_bytes(RECORDED_STATE).unwrap());
 }
 
-/// The new process's side of the recorded lines, against the older process.
+/// Plays the new process's side of the recorded lines against the old process.
 struct NewProcess {
     reading: BufReader<OwnedReadHalf>,
     writing: OwnedWriteHalf,
 }
 
 impl NewProcess {
-    /// One recorded line, sent or expected.
+    /// Sends or expects one recorded line.
     async fn replay(&mut self, recorded: &str, other_process: &OtherProcess) {
         let (sender, line) = recorded.split_once(": ").unwrap();
         if sender == "new" {
@@ -198,14 +201,17 @@
     }
 
     async fn expect_state(&mut self, line: &str) {
-        let mut bytes = vec![0; 8 + STATE.len()];
+        let mut bytes = vec![0; 8 + RECORDED_STATE.len()];
         self.reading.read_exact(&mut bytes).await.unwrap();
-        assert_eq!(bytes, framed(b"AWE1", STATE.len(), STATE));
-        assert_eq!(line, format!("AWE1 {:08x} estate.bin", STATE.len()));
+        assert_eq!(bytes, framed(b"AWE1", RECORDED_STATE.len(), RECORDED_STATE));
+        assert_eq!(
+            line,
+            format!("AWE1 {:08x} estate.bin", RECORDED_STATE.len())
+        );
     }
 }
 
-/// Lets the older process relay the command of a recorded line.
+/// Has the old process relay the command of a recorded line.
 async fn relay(other_process: &OtherProcess, line: &str) {
     let link = other_process.borrow().clone().unwrap();
     let command = line.splitn(3, ' ').last().unwrap().to_string();
@@ -213,15 +219,15 @@
     link.send(RelayedCommand { command, done }).await.unwrap();
 }
 
-/// The older process's side: each line as it was, the state in its frame.
+/// The old process sends each recorded line unchanged, and the state with its header.
 #[tokio::test]
-async fn new_process_is_sent_the_state_in_the_same_lines() {
+async fn old_process_sends_the_recorded_lines_and_state() {
     let (near, far) = UnixStream::pair().unwrap();
     let (hot_restart, mut receivers) = hot_restart();
     let other_process = hot_restart.admin.other_process.clone();
     let engine = async {
         let Some(ControlMessage::ExportState(reply)) = receivers.control.recv().await else {
-            panic!("not asked")
+            panic!("expected a request to export the state")
         };
         let _ = reply.send(Ok(TransferredState {
             draining: false,
@@ -235,56 +241,59 @@
         writing,
     };
     let recorded = async {
-        for line in LINES.lines() {
+        for line in RECORDED_LINES.lines() {
             new_process.replay(line, &other_process).await;
         }
     };
-    let whole = timeout(Duration::from_secs(30), async {
+    let exchange = timeout(Duration::from_secs(30), async {
         tokio::select! {
             ended = hot_restart.hand_over(near) => panic!("{ended:?}"),
             () = engine => {}
             () = recorded => {}
         }
     });
-    whole.await.expect("in time");
+    exchange.await.expect("in time");
     assert_eq!(hot_restart.role.current(), ProcessRole::Superseded);
 }
 
-/// The new process's side: what it sends first, and what it makes of the answer.
+/// The new process sends its greeting, and accepts or rejects the old process's answer.
 #[tokio::test]
-async fn framed_state_is_received_and_any_other_refused_with_its_reason() {
-    let length = STATE.len();
+async fn valid_state_is_received_and_any_other_is_rejected_with_an_error() {
+    let length = RECORDED_STATE.len();
     let other_version = "the old process speaks another protocol version";
-    let cut =
+    let truncated =
         "the state of the old process cannot be decoded: Hit the end of buffer, expected more data";
     let cases = [
-        (framed(b"AWE1", length, STATE), ""),
-        (framed(b"AWE0", length, STATE), other_version),
-        (framed(b"AWE2", length, STATE), other_version),
-        (framed(b"AWE1", (64 << 20) + 1, STATE), other_version),
+        (framed(b"AWE1", length, RECORDED_STATE), ""),
+        (framed(b"AWE0", length, RECORDED_STATE), other_version),
+        (framed(b"AWE2", length, RECORDED_STATE), other_version),
+        (
+            framed(b"AWE1", (64 << 20) + 1, RECORDED_STATE),
+            other_version,
+        ),
         (
-            framed(b"AWE1", length, STATE)[..7].into(),
+            framed(b"AWE1", length, RECORDED_STATE)[..7].into(),
             "the old process closed the connection before it sent its state",
         ),
         (
-            framed(b"AWE1", length, &STATE[1..]),
+            framed(b"AWE1", length, &RECORDED_STATE[1..]),
             "the connection to the old process failed: early eof",
         ),
-        (framed(b"AWE1", length - 1, STATE), cut),
-        (framed(b"AWE1", 0, b""), cut),
+        (framed(b"AWE1", length - 1, RECORDED_STATE), truncated),
+        (framed(b"AWE1", 0, b""), truncated),
     ];
     for (bytes, reason) in cases {
         let (near, mut far) = UnixStream::pair().unwrap();
-        let older_process = async {
-            let mut hello = [0; 23];
-            far.read_exact(&mut hello).await.unwrap();
-            assert_eq!(&hello, b"applewall succession 1\n");
+        let old_process = async {
+            let mut greeting = [0; 23];
+            far.read_exact(&mut greeting).await.unwrap();
+            assert_eq!(&greeting, b"applewall succession 1\n");
             far.write_all(&bytes).await.unwrap();
             drop(far);
         };
-        match tokio::join!(receive(near), older_process).0 {
+        match tokio::join!(receive(near), old_process).0 {
             Ok(received) => {
-                assert_eq!(reason, "", "received what is to be refused");
+                assert_eq!(reason, "", "received a state that should be rejected");
                 assert_complete(&received.state);
             }
             Err(error) => assert_eq!(error.to_string(), reason),
@@ -293,8 +302,8 @@
 }
 
 #[tokio::test]
-async fn process_of_another_version_is_sent_nothing() {
-    for hello in [
+async fn new_process_of_another_version_receives_nothing() {
+    for greeting in [
         "applewall succession 2\n",
         "applewall succession 0\n",
         "applewall succession 11",
@@ -302,18 +311,18 @@
     ] {
         let (near, mut far) = UnixStream::pair().unwrap();
         let (hot_restart, mut receivers) = hot_restart();
-        far.write_all(hello.as_bytes()).await.unwrap();
+        far.write_all(greeting.as_bytes()).await.unwrap();
         far.shutdown().await.unwrap();
         let error = hot_restart.hand_over(near).await.unwrap_err();
-        let short = hello.len() < 23;
+        let is_short = greeting.len() < 23;
         assert_eq!(
             error.to_string(),
-            if short {
+            if is_short {
                 "the connection to the new process failed: early eof"
             } else {
                 "the new process speaks another protocol version"
             },
-            "{hello:?}"
+            "{greeting:?}"
         );
         assert!(receivers.control.try_recv().is_err());
         assert_eq!(hot_restart.role.current(), ProcessRole::Active);
@@ -321,13 +330,13 @@
 }
 
 #[tokio::test]
-async fn process_that_finds_another_version_starts_with_nothing() {
+async fn new_process_starts_without_state_if_the_old_one_has_another_version() {
     let directory = hot_restart().0.shared_directory;
     let listener = UnixListener::bind(directory.hot_restart_socket()).unwrap();
     let answer = async {
         let (mut stream, _) = listener.accept().await.unwrap();
         stream
-            .write_all(&framed(b"AWE0", STATE.len(), STATE))
+            .write_all(&framed(b"AWE0", RECORDED_STATE.len(), RECORDED_STATE))
             .await
             .unwrap();
         let _ = stream.read_to_end(&mut Vec::new()).await;
