--- a/crates/membership/src/backoff/tests.rs
+++ b/crates/membership/src/backoff/tests.rs
@@ -1,4 +1,4 @@
-//! Delays of a backoff, and the draws of its jitters.
+//! Delays of a backoff, and the random numbers that the kinds of jitter use.
 
 use std::time::Duration;
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,15 +1,16 @@
 //! Cluster membership from registries, without I/O and without a clock.
 //!
 //! - [`MemberRecord`]: one member as a registry stores it, validated against a published schema;
-//! - [`Source`]: the members that one registry has reported, by full lists and changes. Replays are dropped, and a registry
-//!   whose history started again is recognised;
+//! - [`Source`]: the members that one registry has reported, in full lists and changes. Drops replays, and detects a
+//!   registry whose history was reset;
 //! - [`MergedMembership`]: several sources merged by precedence and age;
-//! - [`WatchMachine`]: the state machine of a watch: read, watch, request progress, resume, read again after a compaction;
+//! - [`WatchMachine`]: the state machine of a watch: list, watch, progress requests, resumption, full read after a
+//!   compaction;
 //! - [`Backoff`]: the delays between attempts, for all watches of registries and discovery;
-//! - [`snapshot`]: the last known list as bytes, for a start while the registry is unavailable.
+//! - [`snapshot`]: the encoded last known list, for a start while the registry is unavailable.
 //!
-//! The state machines have one shape: `handle(now, input)` takes what happened and returns what follows from it. `now` is
-//! the present moment as the caller's monotonic clock has it; nothing here reads a clock.
+//! All state machines have the same interface: `handle(now, input)` takes an event and returns the actions to perform or the
+//! outcome. `now` is the current time of the caller's monotonic clock; nothing here reads a clock.
 
 mod backoff;
 mod merge;
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -1,9 +1,9 @@
 //! Several sources merged into one membership.
 //!
 //! Sources have a fixed order of precedence. A source is *fresh* while its list was known to be current within the maximum
-//! age. A member's record is that of the first fresh source that has the member; where no fresh source has it, that of the
-//! first stale one: when all sources are stale, the membership stays as it was. A member is never removed because of the
-//! age of a list alone, since an outdated list serves requests and an empty one does not.
+//! age, and *stale* otherwise. A member's record is that of the first fresh source that has the member, or else that of the
+//! first stale source that has it. If all sources are stale, the order of precedence alone decides. A member is never
+//! removed because of the age of a list alone: requests can be served with an outdated list, but not with an empty one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -15,17 +15,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SourceId(pub usize);
 
-/// What changed for one member.
+/// A change of one member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberChange {
     /// The member's id.
     pub id: String,
-    /// The member's present record; none where it was removed.
+    /// The member's new record; `None` if the member was removed.
     pub record: Option<MemberRecord>,
-    /// Whether the member is another incarnation than the one returned before. What was learned about that one, such as
-    /// its latency, does not apply to this one.
+    /// Whether the member is a different incarnation from the one reported before. Observations of the old incarnation,
+    /// such as its latency, do not apply to the new one.
     pub new_incarnation: bool,
-    /// The source whose record it is; none where the member was removed.
+    /// The source of the record; `None` if the member was removed.
     pub source: Option<SourceId>,
 }
 
@@ -34,13 +34,13 @@
 struct ReportedMember {
     record: MemberRecord,
     source: SourceId,
-    /// Number of the incarnation, in that source alone.
+    /// Number of the incarnation, which is unique only within the source.
     incarnation: u64,
 }
 
 impl ReportedMember {
-    /// True where both are the same incarnation. Numbers of incarnations of different sources cannot be compared: there a
-    /// member with the same address is the same incarnation.
+    /// True if both are the same incarnation. Incarnation numbers of different sources cannot be compared; the address
+    /// decides instead.
     fn is_same_incarnation(&self, other: &Self) -> bool {
         if self.source == other.source {
             self.incarnation == other.incarnation
@@ -50,20 +50,20 @@
     }
 }
 
-/// See the module documentation.
+/// The merged members of several sources; see the module documentation.
 #[derive(Debug)]
 pub struct MergedMembership {
     sources: Vec<Source>,
     max_age: Duration,
-    /// By source: whether it was fresh at the last [`MergedMembership::take_changes`].
+    /// For each source: whether it was fresh at the last [`MergedMembership::take_changes`].
     fresh: Vec<bool>,
-    /// The members as the last [`MergedMembership::take_changes`] left them.
+    /// The members as of the last [`MergedMembership::take_changes`].
     reported: BTreeMap<String, ReportedMember>,
 }
 
 impl MergedMembership {
-    /// A membership of this many sources without members. A source is fresh for `max_age` after its list was last known to
-    /// be current.
+    /// Creates an empty membership with `source_count` sources. A source is fresh for `max_age` after its list was last
+    /// known to be current.
     pub fn new(source_count: usize, max_age: Duration) -> Self {
         MergedMembership {
             sources: vec![Source::default(); source_count],
@@ -73,21 +73,21 @@
         }
     }
 
-    /// One of the sources, to report to.
+    /// Returns a source, which takes the reports of its registry.
     ///
     /// # Panics
     ///
-    /// If the membership has no such source.
+    /// Panics if there is no such source.
     pub fn source_mut(&mut self, source: SourceId) -> &mut Source {
         &mut self.sources[source.0]
     }
 
-    /// Each source's age, as in [`Source::age`].
+    /// The [`Source::age`] of each source, in order of precedence.
     pub fn ages(&self, now: Instant) -> Vec<Option<Duration>> {
         self.sources.iter().map(|source| source.age(now)).collect()
     }
 
-    /// True where no source is fresh.
+    /// True if no source is fresh.
     pub fn all_stale(&self, now: Instant) -> bool {
         !self.sources.iter().any(|source| self.is_fresh(source, now))
     }
@@ -96,23 +96,25 @@
         source.age(now).is_some_and(|age| age <= self.max_age)
     }
 
-    /// The changes since the last call, in the order of ids, at most one for each member.
+    /// Returns the changes since the last call, ordered by id, at most one for each member.
     pub fn take_changes(&mut self, now: Instant) -> Vec<MemberChange> {
         let is_fresh = |source| self.is_fresh(source, now);
         let fresh: Vec<bool> = self.sources.iter().map(is_fresh).collect();
         let mut ids = BTreeSet::new();
         for (number, source) in self.sources.iter_mut().enumerate() {
             ids.append(&mut source.take_changed());
-            // A source that became fresh or stale may decide on other members than before.
+            // A source that became fresh or stale may gain or lose precedence for any of its members.
             if fresh[number] != self.fresh[number] {
                 ids.extend(source.ids().cloned());
             }
         }
         self.fresh = fresh;
-        ids.into_iter().filter_map(|id| self.change(id)).collect()
+        ids.into_iter()
+            .filter_map(|id| self.update_reported(id))
+            .collect()
     }
 
-    /// The member as the source with the highest precedence for it has it.
+    /// The member as reported by the source with the highest precedence among those that have it.
     fn resolve(&self, id: &str) -> Option<ReportedMember> {
         let first_with_member = |fresh: bool| {
             let numbered = self.sources.iter().enumerate();
@@ -128,7 +130,8 @@
         })
     }
 
-    fn change(&mut self, id: String) -> Option<MemberChange> {
+    /// Updates the reported member; `None` if nothing changed.
+    fn update_reported(&mut self, id: String) -> Option<MemberChange> {
         let member = self.resolve(&id);
         let before = match &member {
             Some(member) => self.reported.insert(id.clone(), member.clone()),
@@ -154,7 +157,7 @@
         })
     }
 
-    /// All members, as the last [`MergedMembership::take_changes`] left them.
+    /// All members as of the last [`MergedMembership::take_changes`], ordered by id.
     pub fn members(&self) -> impl Iterator<Item = (&str, &MemberRecord)> {
         self.reported
             .iter()
--- a/crates/membership/src/merge/tests.rs
+++ b/crates/membership/src/merge/tests.rs
@@ -1,4 +1,4 @@
-//! Precedence of sources, and what counts as a new incarnation.
+//! Precedence of sources, and detection of new incarnations.
 
 use std::time::{Duration, Instant};
 
@@ -55,7 +55,7 @@
         ),
         (1, true, vec![1, 3])
     );
-    // The first source is stale, the second one is current and decides.
+    // The first source is stale; the second one is fresh and takes precedence.
     membership.source_mut(SECOND).handle(
         start + milliseconds(105),
         SourceInput::Progress(position(9, 5)),
@@ -66,7 +66,7 @@
         (ports(&membership), membership.all_stale(now)),
         (vec![2, 3], false)
     );
-    // Both are stale: the first of them decides, and no member is removed.
+    // Both are stale: the first one takes precedence, and no member is removed.
     let now = start + milliseconds(1_000);
     membership.take_changes(now);
     assert_eq!(
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,8 +1,8 @@
 //! One member's record, as the JSON value of a registry key.
 //!
-//! Values are written by other programs and are validated before use: numbers are in range, and the address is one that a
-//! member can listen at, inside the networks that the operator allows. The published schema for writers is derived from
-//! the same type.
+//! Values are written by other programs and are validated before use: numbers and texts must be in range, and the address
+//! must be one that a member can listen on, in a network that the operator allows. The published schema for the writers is
+//! derived from the same type.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -19,39 +19,39 @@
     /// Accepts new work.
     #[default]
     InService,
-    /// Finishes the work that it has and accepts no new work.
+    /// Completes its work in progress and accepts no new work.
     Terminating,
 }
 
-/// One member. Its keys are spelled as in the list of the discovery service, so that one tool can write both.
+/// One member. The keys have the same names as in the list of the discovery service, so that one tool can write both.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Validate, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Entry")]
 pub struct MemberRecord {
-    /// The address it listens at: an IP address with a port. Host names are not resolved.
+    /// The address that the member listens on: an IP address with a port. Host names are not resolved.
     #[garde(skip)]
     #[schemars(
         with = "String",
         regex(pattern = r"^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:.]+\]):\d{1,5}$")
     )]
     pub endpoint: SocketAddr,
-    /// Its zone.
+    /// The member's zone.
     #[serde(default)]
     #[garde(length(max = 64))]
     pub az: String,
-    /// Its cell; -1 where it belongs to none.
+    /// The member's cell; -1 if it belongs to none.
     #[serde(default = "no_pod_group")]
     #[garde(range(min = -1, max = 1_000_000))]
     pub pod_group: i64,
-    /// Whether it accepts new work.
+    /// Whether the member accepts new work.
     #[serde(default)]
     #[garde(skip)]
     pub state: MemberState,
-    /// Its capacity relative to that of the others; 0 where it is unknown.
+    /// The member's capacity relative to that of the others; 0 if it is unknown.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 1e6))]
     pub capacity_hint: f64,
-    /// When it was last started, as Unix time in milliseconds; 0 means long ago.
+    /// When the member was last started, as Unix time in milliseconds; 0 means long ago.
     #[serde(default)]
     #[garde(skip)]
     pub boot_ms: u64,
@@ -61,31 +61,31 @@
     -1
 }
 
-/// Why a value is not a member's record. The text is one line and does not quote the value, which is written by other
+/// Why a value is not a valid record. The text is a single line and does not quote the whole value, which comes from other
 /// programs and may be of any length.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// The value is another kind of JSON, or not JSON.
+    /// The value does not start like a JSON object.
     #[error("not a JSON object")]
     NotAnObject,
-    /// The value is incomplete, has an unknown or a missing key, or a key's value has another type.
+    /// The JSON is truncated or malformed, a key is unknown or missing, or a value has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A number or a text is out of its range.
+    /// A number or a text is out of range.
     #[error("{field}: {reason}")]
     InvalidField {
-        /// The key.
+        /// The key of the value.
         field: String,
-        /// What is required of its value.
+        /// Which requirement the value does not meet.
         reason: String,
     },
     /// The validator rejected the record without naming a key.
     #[error("out of range")]
     OutOfRange,
-    /// No member can listen at the address: it is unspecified, multicast or without a port.
-    #[error("endpoint: nobody listens at {0}")]
+    /// No member can listen on the address.
+    #[error("endpoint: {0} is unspecified, multicast or has port 0")]
     NotAListeningAddress(SocketAddr),
-    /// The address is in none of the allowed networks.
+    /// The address is not in any of the allowed networks.
     #[error("endpoint: {0} is outside the allowed networks")]
     OutsideAllowedNetworks(IpAddr),
 }
@@ -103,12 +103,12 @@
 }
 
 impl MemberRecord {
-    /// Parses a value. `allowed` are the networks that members may listen in; if it names none, any network is allowed.
+    /// Parses a value. `allowed` are the networks that members may listen in; if it is empty, every network is allowed.
     ///
     /// # Errors
     ///
-    /// A value that is not a record, a number or text out of its range, an address outside the allowed networks or one that
-    /// no member can listen at.
+    /// The value is not a record, a number or text is out of range, or the address is outside the allowed networks or one
+    /// that no member can listen on.
     pub fn parse(value: &[u8], allowed: &Networks) -> Result<Self, RecordError> {
         // serde also accepts an array of all fields, which the published schema does not.
         let first = value.trim_ascii_start().first();
@@ -121,7 +121,7 @@
         if address.is_unspecified() || address.is_multicast() || record.endpoint.port() == 0 {
             return Err(RecordError::NotAListeningAddress(record.endpoint));
         }
-        // A record by mistake, or by an attacker, must not direct traffic out of the fleet.
+        // A mistaken or malicious record must not direct traffic to an address outside the fleet.
         if !allowed.0.is_empty() && !allowed.contains(address) {
             return Err(RecordError::OutsideAllowedNetworks(address));
         }
@@ -129,7 +129,7 @@
     }
 }
 
-/// The published JSON Schema of a value.
+/// The published JSON Schema of a record.
 pub fn schema() -> String {
     serde_json::to_string_pretty(&schemars::schema_for!(MemberRecord)).unwrap_or_default()
 }
--- a/crates/membership/src/record/tests.rs
+++ b/crates/membership/src/record/tests.rs
@@ -1,4 +1,4 @@
-//! Reading records, and their agreement with the published schema.
+//! Parsing of records, which must accept the same values as the published schema.
 
 use applewall_operator_config::Networks;
 
@@ -55,6 +55,9 @@
     }
     for endpoint in ["0.0.0.0:1", "224.0.0.1:1", "10.0.0.1:0"] {
         let error = parse(endpoint).unwrap_err();
-        assert!(error.contains("nobody listens"), "{endpoint}");
+        assert!(
+            error.contains("is unspecified, multicast or has port 0"),
+            "{endpoint}"
+        );
     }
 }
--- a/crates/membership/src/rejections.rs
+++ b/crates/membership/src/rejections.rs
@@ -1,22 +1,22 @@
-//! Which rejected members of a source were logged: each is logged once, until its value is accepted again.
+//! Limits the logging of rejected members: each is logged once until a value of its key is accepted again.
 
 use std::collections::BTreeSet;
 
 use crate::MemberRecord;
 
-/// Maximum number of members that are logged as rejected: a registry full of malformed values must not fill the log.
+/// Maximum number of rejected members that are logged, so that a registry full of malformed values does not flood the log.
 const MAX_LOGGED_REJECTIONS: usize = 100;
 
-/// Ids of the rejected members of one source that were logged.
+/// The rejected members of one source that were logged, by id.
 #[derive(Debug, Default)]
 pub struct Rejections(BTreeSet<String>);
 
 impl Rejections {
-    /// Passes the result of parsing a member's value on, and remembers whether it was rejected.
+    /// Returns the result of parsing a member's value, and records a rejection.
     ///
     /// # Errors
     ///
-    /// The parser's error where it is to be logged; `None` where the member was logged before, or too many were.
+    /// The parser's error if it should be logged; `None` if the member was logged before or the limit is reached.
     pub fn check<E>(
         &mut self,
         id: &str,
--- a/crates/membership/src/snapshot/tests.rs
+++ b/crates/membership/src/snapshot/tests.rs
@@ -1,4 +1,4 @@
-//! Writing snapshots, and reading intact, damaged, old and foreign ones.
+//! Encoding of snapshots, and decoding of intact, corrupted and old ones and of those from other programs or clusters.
 
 use std::time::{Duration, Instant};
 
@@ -64,14 +64,14 @@
     let rejected = |bytes: &[u8], limits| Snapshot::decode(bytes, &limits).unwrap_err();
     assert_eq!(
         rejected(&bytes, limits(2_000_000)),
-        SnapshotError::Old {
+        SnapshotError::TooOld {
             age_ms: 1_000_000,
             max_age_ms: 60_000
         }
     );
     assert_eq!(
         rejected(&bytes, limits(900_000)),
-        SnapshotError::Ahead { ahead_ms: 100_000 }
+        SnapshotError::FromFuture { ahead_ms: 100_000 }
     );
     let other_cluster = SnapshotLimits {
         cluster: Some(8),
@@ -79,14 +79,14 @@
     };
     assert_eq!(
         rejected(&bytes, other_cluster),
-        SnapshotError::Cluster {
+        SnapshotError::OtherCluster {
             found: 7,
             expected: 8
         }
     );
-    assert_eq!(rejected(b"{}\n", limits(0)), SnapshotError::Foreign);
+    assert_eq!(rejected(b"{}\n", limits(0)), SnapshotError::NotASnapshot);
     assert_eq!(
         rejected(b"applewall-roster 2 0 0\n", limits(0)),
-        SnapshotError::Version(2)
+        SnapshotError::UnsupportedVersion(2)
     );
 }
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -1,8 +1,8 @@
 //! The members that one registry has reported.
 //!
-//! A source takes full lists, changes and proofs of progress, each with the position in the registry's history that it
-//! reaches. Its members stay known while the registry is unavailable. Invariants: updates at or before the known position
-//! change nothing, in whatever order they are repeated; a consistent full list always applies.
+//! A source takes full lists, changes and progress notifications, each with the position in the registry's history that it
+//! reaches. The members are kept while the registry is unavailable. Invariants: updates at or before the known position
+//! have no effect, even if they are replayed out of order; a consistent full list is always applied.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -28,9 +28,9 @@
 /// How a full list was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadConsistency {
-    /// The list has everything that was written before the read.
+    /// The list contains everything that was written before the read.
     Consistent,
-    /// The list is that of one of the registry's followers, which may lag.
+    /// The list comes from one of the registry's servers, which may lag behind the leader.
     Stale,
 }
 
@@ -41,17 +41,17 @@
     pub id: String,
     /// The revision of the key's last change.
     pub revision: u64,
-    /// The revision at which the key was created. A member whose key was created again is a new incarnation.
+    /// The revision at which the key was created. If the key was deleted and created again, the member is a new incarnation.
     pub create_revision: u64,
-    /// The member's record; none where the key was removed or its value was rejected: in both cases nothing is sent to the
-    /// member.
+    /// The member's record; `None` if the key was deleted or its value rejected. In both cases the member receives no
+    /// requests.
     pub record: Option<MemberRecord>,
 }
 
 /// All members of a registry at one position.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FullList {
-    /// Where the list was read.
+    /// The position at which the list was read.
     pub position: Position,
     /// How the list was read.
     pub consistency: ReadConsistency,
@@ -59,68 +59,68 @@
     pub updates: Vec<MemberUpdate>,
 }
 
-/// What a registry reports.
+/// A report of a registry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceInput {
     /// The full list.
     FullList(FullList),
-    /// All changes since the last report, up to a position; possibly none.
+    /// All changes since the last report, up to a position; there may be none.
     Changes {
-        /// Up to where the changes reach.
+        /// The position that the changes reach.
         position: Position,
         /// The changes, in order.
         updates: Vec<MemberUpdate>,
     },
-    /// Nothing has changed up to a position.
+    /// There are no further changes up to a position.
     Progress(Position),
 }
 
-/// What became of a report.
+/// The outcome of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceOutput {
-    /// The report was applied, though it may have changed nothing.
+    /// The report was applied; it may have changed nothing.
     Applied,
-    /// The report was dropped: it is from before the known position.
+    /// The report was dropped: its position is before the known one.
     Outdated,
-    /// The report was dropped: it does not follow on the known position, as after a restart of the registry's history. A
-    /// full list is needed.
+    /// The report was dropped: it does not continue from the known position, for example after a reset of the registry's
+    /// history. A full list is needed.
     Gap,
 }
 
-/// A member as a source knows it.
+/// A member as last reported to a source.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct KnownMember {
     pub(crate) record: MemberRecord,
     pub(crate) create_revision: u64,
-    /// Number of the member's incarnation: unique in this source, over all ids.
+    /// Number of the member's incarnation, unique among all members of this source.
     pub(crate) incarnation: u64,
 }
 
-/// Whether a list's revisions can be compared with those of the members that are known.
+/// Whether the revisions of a report can be compared with those of the known members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum History {
-    /// The report is of the same history as the known position, and not before it.
+    /// The report is from the same history as the known position, and not before it.
     Continued,
-    /// The registry's history started again, as after a restore from a backup, or another registry answers.
-    Restarted,
+    /// The registry's history was reset, for example by a restore from a backup, or another cluster responded.
+    Reset,
 }
 
-/// The members of one registry, as far as it reported them.
+/// The members that one registry has reported.
 #[derive(Clone, Debug, Default)]
 pub struct Source {
-    /// Up to which all changes were reported; none before the first full list.
+    /// The position up to which all changes were reported; `None` before the first full list.
     position: Option<Position>,
     members: BTreeMap<String, KnownMember>,
-    /// Number of the last incarnation.
+    /// The highest incarnation number that was assigned.
     last_incarnation: u64,
-    /// When the members were last known to be those of the registry.
+    /// When the members were last known to be current; `None` if they were never.
     current_at: Option<Instant>,
-    /// Ids of members that changed since [`Source::take_changed`].
+    /// Ids of the members that changed since the last [`Source::take_changed`].
     changed: BTreeSet<String>,
 }
 
 impl Source {
-    /// Takes a report; returns what became of it.
+    /// Handles a report; returns its outcome.
     pub fn handle(&mut self, now: Instant, input: SourceInput) -> SourceOutput {
         match input {
             SourceInput::FullList(list) => self.apply_full_list(now, list),
@@ -131,21 +131,22 @@
         }
     }
 
-    /// Restores the list of an earlier process. It is not known to be current: any source whose list is takes precedence.
+    /// Restores the list of an earlier process. It is not known to be current, so that every source with a current list
+    /// takes precedence.
     pub fn restore(&mut self, position: Position, updates: Vec<MemberUpdate>) {
         let history = self.history_of(position);
         self.replace_members(position, updates, history);
         self.current_at = None;
     }
 
-    /// Applies the full list at a position.
+    /// Applies a full list.
     ///
-    /// A consistent list always applies. If its revision is before the known one, or its cluster another one, then the
-    /// registry's history started again, and members at another address than before are new incarnations. A stale list
-    /// from before the known position, or of another cluster, is dropped.
+    /// A consistent list is always applied. If its revision is below the known one or it is from another cluster, the
+    /// registry's history was reset, and only members whose address changed are new incarnations. A stale list from before
+    /// the known position or from another cluster is dropped.
     fn apply_full_list(&mut self, now: Instant, list: FullList) -> SourceOutput {
         let history = self.history_of(list.position);
-        if history == History::Restarted && list.consistency == ReadConsistency::Stale {
+        if history == History::Reset && list.consistency == ReadConsistency::Stale {
             return SourceOutput::Outdated;
         }
         self.replace_members(list.position, list.updates, history);
@@ -158,13 +159,13 @@
             Some(known)
                 if known.cluster != position.cluster || known.revision > position.revision =>
             {
-                History::Restarted
+                History::Reset
             }
             _ => History::Continued,
         }
     }
 
-    /// Applies the updates of a full list, and removes the members that it does not have.
+    /// Applies the updates of a full list, and removes the members that are not in it.
     fn replace_members(
         &mut self,
         position: Position,
@@ -184,8 +185,8 @@
         }
     }
 
-    /// Applies all changes up to a position that follow on those reported before. Updates at or before the known position
-    /// are replays, and are dropped one by one.
+    /// Applies the changes up to a position, which continue from the last report. Individual updates at or before the known
+    /// position are replays and are dropped.
     fn apply_changes(
         &mut self,
         now: Instant,
@@ -203,8 +204,8 @@
         output
     }
 
-    /// Advances the known position. A position before it proves nothing: the report is a replay, or from a follower that
-    /// lags.
+    /// Advances the known position. A report with an earlier position is a replay, or from a server that lags, and does not
+    /// show that the members are current.
     fn apply_progress(&mut self, now: Instant, position: Position) -> SourceOutput {
         match self.position {
             Some(known) if known.cluster == position.cluster => {
@@ -224,13 +225,12 @@
             return self.remove(update.id);
         };
         let known = self.members.get(&update.id);
-        // A member at another address is a new incarnation, and so is one whose key was removed and created again, however
-        // quickly. Create revisions of a restarted history cannot be compared: there only the address counts, because a
+        // A member is a new incarnation if its address changed, or if its key was deleted and created again, even within
+        // one report. After a reset of the history, create revisions cannot be compared, and only the address counts: a
         // member does not restart when its registry does.
         let same_incarnation = known.filter(|known| {
             known.record.endpoint == record.endpoint
-                && (history == History::Restarted
-                    || known.create_revision == update.create_revision)
+                && (history == History::Reset || known.create_revision == update.create_revision)
         });
         let incarnation =
             same_incarnation.map_or(self.last_incarnation + 1, |known| known.incarnation);
@@ -252,12 +252,12 @@
         }
     }
 
-    /// The position up to which all changes are known, to resume a watch from.
+    /// The position up to which all changes are known, from which a watch resumes.
     pub fn position(&self) -> Option<Position> {
         self.position
     }
 
-    /// The time since the members were last known to be those of the registry; none where they never were.
+    /// The time since the members were last known to be current; `None` if they never were.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.current_at
             .map(|current_at| now.saturating_duration_since(current_at))
--- a/crates/membership/src/source/tests.rs
+++ b/crates/membership/src/source/tests.rs
@@ -1,4 +1,4 @@
-//! Full lists, changes and progress of one registry: replayed, outdated and after a restart of its history.
+//! Full lists, changes and progress notifications of one registry: replayed, outdated, and after a reset of its history.
 
 use std::time::{Duration, Instant};
 
@@ -35,7 +35,7 @@
     let only_a = vec![update("a", 5, 5, Some(1))];
     source.handle(now, consistent_list(at(12), only_a));
     assert_eq!(changed(&mut source), ["b"]);
-    // The removal of b again, and a change older than the list.
+    // The removal of b is replayed, and a change older than the list is reported.
     let removal = changes(at(12), vec![update("b", 11, 0, None)]);
     assert_eq!(source.handle(now, removal), SourceOutput::Applied);
     let old_change = changes(at(11), vec![update("a", 11, 5, Some(9))]);
@@ -51,7 +51,7 @@
     let created = vec![update("a", 5, 5, Some(1))];
     source.handle(now, consistent_list(at(10), created));
     let first = incarnation(&source);
-    // Removed and added again within one answer.
+    // Deleted and created again within one report.
     let recreated = vec![update("a", 11, 0, None), update("a", 12, 12, Some(1))];
     source.handle(now, changes(at(12), recreated));
     let second = incarnation(&source);
@@ -59,7 +59,7 @@
     let moved = vec![update("a", 13, 12, Some(2))];
     source.handle(now, changes(at(13), moved));
     assert!(incarnation(&source) > second);
-    // Recreated during a break: the full list after it has another create revision.
+    // Recreated while disconnected: the next full list has a different create revision.
     let third = incarnation(&source);
     let recreated = vec![update("a", 20, 20, Some(2))];
     source.handle(now, consistent_list(at(20), recreated));
@@ -94,7 +94,7 @@
         source.handle(after(1), SourceInput::Progress(at(99))),
         SourceOutput::Outdated
     );
-    // Restored from a backup: revisions went back, a kept its address and b is missing.
+    // Restored from a backup: the revision is lower, a has the same address and b is missing.
     let restored = vec![update("a", 3, 3, Some(1))];
     assert_eq!(
         source.handle(after(2), consistent_list(at(7), restored)),
@@ -104,7 +104,7 @@
         (changed(&mut source), source.position()),
         (vec!["b".to_string()], Some(at(7)))
     );
-    // Another cluster.
+    // The registry was replaced by another cluster.
     let other_cluster = vec![update("a", 1, 1, Some(1))];
     assert_eq!(
         source.handle(after(3), consistent_list(in_cluster_2(1), other_cluster)),
--- a/crates/membership/src/test_support.rs
+++ b/crates/membership/src/test_support.rs
@@ -5,7 +5,7 @@
     SourceInput,
 };
 
-/// A record at a port of the loopback address.
+/// A record with this port on the loopback address.
 pub(crate) fn record(port: u16, state: MemberState) -> MemberRecord {
     MemberRecord {
         endpoint: ([127, 0, 0, 1], port).into(),
@@ -17,7 +17,7 @@
     }
 }
 
-/// A report about one key; `port`: where the member listens, none where the key is removed.
+/// An update of one key; `port` is the member's port, or `None` if the key was deleted.
 pub(crate) fn update(
     id: &str,
     revision: u64,
@@ -40,7 +40,7 @@
     }
 }
 
-/// A full list that was read consistently.
+/// A full list from a consistent read.
 pub(crate) fn consistent_list(position: Position, updates: Vec<MemberUpdate>) -> SourceInput {
     SourceInput::FullList(FullList {
         position,
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/watch.rs
@@ -1,14 +1,14 @@
 //! State machine of a registry watch, without I/O and without a clock.
 //!
 //! The machine connects, reads the full list once (or resumes at the position that an earlier watch reached), watches from
-//! the next revision on, and requests progress at every `progress_interval` as a proof that the watch is alive. The
-//! registry answers a progress request from memory, without a read of the list. A watch whose proof does not arrive within
-//! `response_timeout` is taken for silent, and resumed at the next endpoint.
+//! the next revision on, and sends a progress request every `progress_interval` to check that the watch is alive. The
+//! registry answers a progress request from memory, without reading the list. If the response does not arrive within
+//! `response_timeout`, the watch is considered dead and is resumed at the next endpoint.
 //!
-//! A fleet must not overload a registry that restarts. Only a compaction, or a registry whose history started again, needs
-//! a full read; every other reconnect resumes, which costs the registry only the changes. Delays before a reconnect have
-//! full jitter. A full read after a compaction has a random delay of its own, because a compaction affects all nodes at the
-//! same moment; the first read of a process has none.
+//! A fleet must not overload a restarting registry. Only a compaction or a reset of the registry's history requires a full
+//! read; every other reconnect resumes the watch, which costs the registry only the changes. Reconnect delays have full
+//! jitter. A full read after a compaction has a random delay of its own, because a compaction affects all nodes at the same
+//! time; the first full read of a process is not delayed.
 
 use std::time::{Duration, Instant};
 
@@ -18,75 +18,75 @@
 use crate::backoff::{full_jitter, Backoff};
 use crate::Position;
 
-/// For this long after the watch was last alive, reconnects have short delays: a drain that was written meanwhile has to
-/// be learned within its notice. Afterwards the notice is over, and the backoff spares the registry.
+/// For this long after the watch was last alive, reconnects have short delays: the drain of a member that was written in
+/// the meantime must be received before its notice period ends. Later reconnects back off to limit the load on the registry.
 const FAST_RECONNECT_PERIOD: Duration = Duration::from_millis(400);
 
-/// Upper bound of the delay before a reconnect within [`FAST_RECONNECT_PERIOD`], in initial backoffs.
+/// Upper bound of the delay before a reconnect within [`FAST_RECONNECT_PERIOD`], as a multiple of the initial backoff.
 const FAST_RECONNECT_BACKOFFS: u32 = 2;
 
-/// This many answers in a row from before the known position mean that the registry's history went back, as after a
-/// restore from a backup. A cluster member that lags for a moment gives fewer.
-const MAX_CONSECUTIVE_LAGGING_ANSWERS: u32 = 3;
+/// After this many consecutive responses with a revision below the known one, the registry's history is assumed to have
+/// been reset, for example by a restore from a backup. A cluster member that lags briefly sends fewer.
+const MAX_CONSECUTIVE_LAGGING_RESPONSES: u32 = 3;
 
-/// Timeout of a full list, in timeouts of any other answer.
+/// Timeout of a full read, as a multiple of the timeout of any other response.
 const FULL_LIST_TIMEOUT_FACTOR: u32 = 10;
 
-/// Range of the draw for the first endpoint, which the caller reduces modulo the number of endpoints: large enough that
-/// the draw is even for any number that a registry has.
-const ENDPOINT_DRAW_RANGE: usize = 1 << 16;
+/// Range of the random number of the first endpoint, which the caller reduces modulo the number of endpoints. Large enough
+/// that the endpoints of any registry are chosen with nearly equal probability.
+const INITIAL_ENDPOINT_RANGE: usize = 1 << 16;
 
 /// Intervals, timeouts and delays of a watch.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchTiming {
     /// Interval between two progress requests.
     pub progress_interval: Duration,
-    /// Timeout of any answer but a full list.
+    /// Timeout of any response except a full list.
     pub response_timeout: Duration,
     /// Upper bounds of the random delay before a reconnect.
     pub backoff: Backoff,
-    /// Upper bound of the random delay before a full read that all nodes of a fleet need at once.
+    /// Upper bound of the random delay before a full read that all nodes of a fleet need at the same time.
     pub full_read_jitter: Duration,
 }
 
-/// Why a connection is dropped, for the log.
+/// Why a connection is closed, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectReason {
-    /// The connection broke, or was never established.
+    /// The connection was lost, or could not be established.
     ConnectionLost,
-    /// An answer did not arrive in time.
+    /// A response did not arrive within its timeout.
     TimedOut,
-    /// The registry's answer does not follow on the known position.
+    /// The registry's response does not continue from the known position.
     Inconsistent,
 }
 
-/// What happened.
+/// An event that the machine handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchInput {
     /// The connection is established.
     Connected,
-    /// The full list was read, as it was at this position.
+    /// The full list was read; it is the one at this position.
     ListRead(Position),
-    /// The registry accepted the watch.
+    /// The registry created the watch.
     WatchCreated,
-    /// The watch reported all changes up to this position, or that there are none.
+    /// All changes up to this position were reported; there may have been none.
     Progress(Position),
-    /// A fragment of an answer arrived; further ones follow.
+    /// A fragment of a response arrived; at least one more follows.
     Fragment,
-    /// The revision to resume from is compacted.
+    /// The revision to resume from was compacted.
     Compacted,
-    /// The connection broke.
+    /// The connection was lost, or could not be established.
     ConnectionLost,
-    /// Time has passed; due at [`WatchMachine::next_deadline`], and without effect before it.
+    /// Time has passed; due at [`WatchMachine::next_deadline`], ignored before it.
     Tick,
 }
 
-/// What to do.
+/// An action for the caller to perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchOutput {
-    /// Drop any connection and connect to the endpoint with this number.
+    /// Close any open connection and connect to the endpoint with this number.
     Connect {
-        /// The endpoint's number, to be taken modulo the number of endpoints.
+        /// The endpoint's number; the caller reduces it modulo the number of endpoints.
         endpoint: usize,
     },
     /// Read the full list.
@@ -96,61 +96,62 @@
         /// The first revision to report.
         from: u64,
     },
-    /// Request a proof that the watch is alive.
+    /// Request a progress notification to check that the watch is alive.
     RequestProgress,
-    /// Drop the connection; a `Connect` follows after a delay.
+    /// Close the connection; a `Connect` follows after a delay.
     Disconnect {
-        /// Why.
+        /// Why the connection is closed.
         reason: DisconnectReason,
     },
 }
 
-/// What the watch is doing. Each state has a deadline.
+/// The state of the watch. Each state has a deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchState {
-    /// There is no connection; at the deadline the next attempt follows.
+    /// Not connected; the next attempt is made at the deadline.
     BackingOff,
-    /// A connection is being established; at the deadline the attempt has timed out.
+    /// A connection is being established; the attempt times out at the deadline.
     Connecting,
-    /// Connected; at the deadline a full read follows that all nodes of a fleet make.
+    /// Connected; the full read, which all nodes of a fleet need, starts at the deadline.
     ReadDelayed,
-    /// The full list is being read; at the deadline the read has timed out.
+    /// The full list is being read; the read times out at the deadline.
     ReadingList,
-    /// The registry was asked for a watch; at the deadline the answer has timed out.
+    /// The creation of the watch was requested; the request times out at the deadline.
     CreatingWatch,
-    /// The watch is alive; at the deadline progress is requested.
+    /// The watch is alive; a progress request is sent at the deadline.
     Live,
-    /// Progress was requested; at the deadline the watch is taken for silent.
+    /// A progress request was sent, or a fragment was received; the watch is considered dead at the deadline.
     AwaitingProgress,
 }
 
-/// See the module documentation.
+/// The state machine of one watch; see the module documentation.
 #[derive(Debug)]
 pub struct WatchMachine {
     timing: WatchTiming,
     state: WatchState,
-    /// When the state ends, or has timed out.
+    /// When the state ends or times out.
     deadline: Instant,
-    /// The endpoint of the connection, or of the next attempt.
+    /// Number of the endpoint of the connection or of the next attempt.
     endpoint: usize,
-    /// Up to which all changes were reported; none where a full read is needed.
+    /// The position up to which all changes were reported; `None` if a full read is needed.
     position: Option<Position>,
-    /// Whether the next full read is one that all nodes of a fleet make.
+    /// Whether the next full read is delayed at random, because all nodes of a fleet need it at the same time.
     delays_full_read: bool,
-    /// Connections that were lost since the registry last accepted a watch, without the fast reconnects.
+    /// Number of lost connections since the registry last created a watch, not counting those that led to an immediate or
+    /// a fast reconnect.
     failures: u32,
     /// When the watch was last alive.
     last_alive_at: Option<Instant>,
-    consecutive_lagging_answers: u32,
+    consecutive_lagging_responses: u32,
     rng: SmallRng,
 }
 
 impl WatchMachine {
-    /// A watch that connects at the first tick, to an endpoint drawn with the seed, so that the nodes of a fleet are
-    /// distributed evenly. `position`: that of the list in the snapshot of an earlier process, if any.
+    /// Creates a watch that connects at the first tick. The seed selects the first endpoint, so that the nodes of a fleet
+    /// are distributed over the endpoints. `position` is that of the restored snapshot, if there is one.
     pub fn new(now: Instant, timing: WatchTiming, seed: u64, position: Option<Position>) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let endpoint = rng.random_range(0..ENDPOINT_DRAW_RANGE);
+        let endpoint = rng.random_range(0..INITIAL_ENDPOINT_RANGE);
         WatchMachine {
             timing,
             state: WatchState::BackingOff,
@@ -160,26 +161,26 @@
             delays_full_read: false,
             failures: 0,
             last_alive_at: None,
-            consecutive_lagging_answers: 0,
+            consecutive_lagging_responses: 0,
             rng,
         }
     }
 
-    /// When a [`WatchInput::Tick`] is due, if nothing happens before.
+    /// When a [`WatchInput::Tick`] is due, unless another input arrives first.
     pub fn next_deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// True while the watch is alive: accepted, and not found silent.
+    /// True while the watch is alive: created, and not lost or timed out since.
     pub fn is_live(&self) -> bool {
         matches!(self.state, WatchState::Live | WatchState::AwaitingProgress)
     }
 
-    /// Takes an input; returns what to do, in order.
+    /// Handles an input; returns the actions to perform, in order.
     pub fn handle(&mut self, now: Instant, input: WatchInput) -> Vec<WatchOutput> {
         match (input, self.state) {
             (WatchInput::Tick, _) if now < self.deadline => Vec::new(),
-            (WatchInput::Tick, _) => self.deadline_reached(now),
+            (WatchInput::Tick, _) => self.handle_deadline(now),
             (WatchInput::Connected, WatchState::Connecting) => match self.position {
                 Some(position) => self.create_watch(now, position),
                 None => self.request_full_read(now),
@@ -189,27 +190,27 @@
                 self.create_watch(now, position)
             }
             (WatchInput::WatchCreated, WatchState::CreatingWatch) => {
-                // An accepted watch proves that the registry serves again; an established connection does not.
+                // A created watch proves that the registry is serving; an established connection does not.
                 self.failures = 0;
-                self.proven_alive(now)
+                self.mark_alive(now)
             }
             (WatchInput::Progress(position), WatchState::Live | WatchState::AwaitingProgress) => {
-                self.progressed(now, position)
+                self.handle_progress(now, position)
             }
             (WatchInput::Fragment, WatchState::Live | WatchState::AwaitingProgress) => {
-                self.await_answer(now, WatchState::AwaitingProgress);
+                self.await_response(now, WatchState::AwaitingProgress);
                 Vec::new()
             }
             (
                 WatchInput::Compacted,
                 WatchState::CreatingWatch | WatchState::Live | WatchState::AwaitingProgress,
             ) => {
-                // The revision of every node was compacted, at the same moment.
+                // The compaction affects every node of the fleet at the same time.
                 self.position = None;
                 self.delays_full_read = true;
                 self.request_full_read(now)
             }
-            // Late answers on a connection that was dropped.
+            // Late responses on a connection that was closed.
             (
                 WatchInput::ConnectionLost
                 | WatchInput::Progress(_)
@@ -225,24 +226,25 @@
         }
     }
 
-    /// Discards the known position: the caller's list does not follow on the registry's history, and is read again.
+    /// Discards the known position, so that the full list is read again. The caller found a gap between its list and the
+    /// registry's history.
     pub fn invalidate(&mut self, now: Instant) -> Vec<WatchOutput> {
         self.position = None;
-        self.consecutive_lagging_answers = 0;
+        self.consecutive_lagging_responses = 0;
         self.delays_full_read = true;
         self.disconnect(now, DisconnectReason::Inconsistent)
     }
 
-    fn deadline_reached(&mut self, now: Instant) -> Vec<WatchOutput> {
+    fn handle_deadline(&mut self, now: Instant) -> Vec<WatchOutput> {
         match self.state {
             WatchState::BackingOff => {
-                self.await_answer(now, WatchState::Connecting);
+                self.await_response(now, WatchState::Connecting);
                 let endpoint = self.endpoint;
                 vec![WatchOutput::Connect { endpoint }]
             }
             WatchState::ReadDelayed => self.read_list(now),
             WatchState::Live => {
-                self.await_answer(now, WatchState::AwaitingProgress);
+                self.await_response(now, WatchState::AwaitingProgress);
                 vec![WatchOutput::RequestProgress]
             }
             WatchState::Connecting
@@ -252,36 +254,36 @@
         }
     }
 
-    fn progressed(&mut self, now: Instant, position: Position) -> Vec<WatchOutput> {
+    fn handle_progress(&mut self, now: Instant, position: Position) -> Vec<WatchOutput> {
         let Some(known) = self
             .position
             .filter(|known| known.cluster == position.cluster)
         else {
-            // Another cluster answers at the same address now.
+            // Another cluster now responds at this address.
             return self.invalidate(now);
         };
-        self.consecutive_lagging_answers = if position.revision < known.revision {
-            self.consecutive_lagging_answers + 1
+        self.consecutive_lagging_responses = if position.revision < known.revision {
+            self.consecutive_lagging_responses + 1
         } else {
             0
         };
-        if self.consecutive_lagging_answers >= MAX_CONSECUTIVE_LAGGING_ANSWERS {
+        if self.consecutive_lagging_responses >= MAX_CONSECUTIVE_LAGGING_RESPONSES {
             return self.invalidate(now);
         }
         self.position = Some(Position {
             cluster: known.cluster,
             revision: position.revision.max(known.revision),
         });
-        self.proven_alive(now)
+        self.mark_alive(now)
     }
 
-    fn proven_alive(&mut self, now: Instant) -> Vec<WatchOutput> {
+    fn mark_alive(&mut self, now: Instant) -> Vec<WatchOutput> {
         self.last_alive_at = Some(now);
         self.enter(WatchState::Live, now + self.timing.progress_interval);
         Vec::new()
     }
 
-    /// Reads the full list, at once or after a delay that distributes the reads of a fleet.
+    /// Starts a full read, immediately or after a random delay that distributes the reads of a fleet.
     fn request_full_read(&mut self, now: Instant) -> Vec<WatchOutput> {
         if std::mem::take(&mut self.delays_full_read) {
             let delay = full_jitter(self.timing.full_read_jitter, &mut self.rng);
@@ -298,7 +300,7 @@
     }
 
     fn create_watch(&mut self, now: Instant, known: Position) -> Vec<WatchOutput> {
-        self.await_answer(now, WatchState::CreatingWatch);
+        self.await_response(now, WatchState::CreatingWatch);
         vec![WatchOutput::Watch {
             from: known.revision.saturating_add(1),
         }]
@@ -311,8 +313,8 @@
         vec![WatchOutput::Disconnect { reason }]
     }
 
-    /// The delay before the next connection attempt. A watch that was alive is resumed at another endpoint without one:
-    /// the notice of a drain may be running.
+    /// The delay before the next connection attempt. There is none if the watch was alive until now: a drain may have been
+    /// written that must be received before its notice period ends.
     fn reconnect_delay(&mut self, now: Instant) -> Duration {
         if self.is_live() {
             return Duration::ZERO;
@@ -329,7 +331,7 @@
         full_jitter(bound, &mut self.rng)
     }
 
-    fn await_answer(&mut self, now: Instant, state: WatchState) {
+    fn await_response(&mut self, now: Instant, state: WatchState) {
         self.enter(state, now + self.timing.response_timeout);
     }
 
--- a/crates/membership/src/watch/tests.rs
+++ b/crates/membership/src/watch/tests.rs
@@ -1,4 +1,4 @@
-//! Watches that fall silent, break, are compacted or contradict what is known.
+//! Watches that time out, lose the connection, are compacted or report an inconsistent position.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -28,7 +28,7 @@
     position(9, revision)
 }
 
-/// A watch that is alive from `start` on, at revision 41.
+/// A watch that is alive at `start`, with all changes up to revision 41.
 fn live(start: Instant) -> WatchMachine {
     let mut machine = WatchMachine::new(start, TIMING, 1, None);
     assert!(matches!(
@@ -47,7 +47,7 @@
     machine
 }
 
-/// Reconnects a machine that has to read the list again, and lets the delay before the read pass.
+/// Asserts that the machine reconnects and, after the random delay, reads the full list.
 fn assert_reconnects_and_reads_the_list(machine: &mut WatchMachine) {
     let connecting_at = machine.next_deadline();
     machine.handle(connecting_at, WatchInput::Tick);
@@ -66,8 +66,8 @@
     let mut machine = live(start);
     let last_progress_at = start + 50 * MS;
     machine.handle(last_progress_at, WatchInput::Progress(at(45)));
-    // The registry falls silent right after that.
-    let dropped_at = loop {
+    // The registry stops responding right after that.
+    let disconnected_at = loop {
         let now = machine.next_deadline();
         match machine.handle(now, WatchInput::Tick)[..] {
             [WatchOutput::RequestProgress] => {}
@@ -77,14 +77,14 @@
             ref other => panic!("{other:?}"),
         }
     };
-    assert!(dropped_at - last_progress_at <= 250 * MS);
+    assert!(disconnected_at - last_progress_at <= 250 * MS);
     let endpoint = machine.endpoint;
     assert_eq!(
         machine.handle(machine.next_deadline(), WatchInput::Tick),
         [WatchOutput::Connect { endpoint }]
     );
     assert_eq!(
-        machine.handle(dropped_at, WatchInput::Connected),
+        machine.handle(disconnected_at, WatchInput::Connected),
         [WatchOutput::Watch { from: 46 }]
     );
 }
@@ -109,7 +109,7 @@
             read_at - start
         })
         .collect();
-    // Evenly: no tenth of the time has more than a fifth of a fleet of 300.
+    // The distribution is even: no tenth of the interval has a fifth of the 300 reads or more.
     for tenth in 0..10 {
         let tenth_of_delay = 30 * tenth * MS..30 * (tenth + 1) * MS;
         let reads = reads_after
@@ -184,7 +184,7 @@
         }]
     );
     assert_reconnects_and_reads_the_list(&mut machine);
-    // A full list may take longer than a progress notification.
+    // The timeout of a full read is longer than that of a progress request.
     let before_timeout = machine.next_deadline() - Duration::from_nanos(1);
     assert!(machine.handle(before_timeout, WatchInput::Tick).is_empty());
 }
--- a/crates/membership/tests/source_histories.rs
+++ b/crates/membership/tests/source_histories.rs
@@ -1,5 +1,5 @@
-//! Random histories of a registry, reported through breaks, replays, lagging followers and restarts: what a source
-//! holds is what the registry holds, however it was reported.
+//! Random histories of a registry, reported with gaps, replays, lagging followers and resets of the history. The source
+//! must have the same members as the registry, however they were reported.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -25,18 +25,18 @@
     Delete {
         id: u8,
     },
-    /// The watch reports what it has not reported, after some of what it has: 0 for none.
+    /// The watch reports the new changes, preceded by those of the last `replayed` revisions that were reported before.
     Changes {
         replayed: u64,
     },
-    /// The whole list is read.
-    Read,
-    /// A follower that lags by so many revisions reports its whole list.
+    /// The full list is read consistently.
+    ConsistentRead,
+    /// The full list is read from a follower that lags by `lag` revisions.
     StaleRead {
         lag: u64,
     },
-    /// The registry begins anew with what it holds now, its revisions counted from the start.
-    BeginAnew {
+    /// The registry's history is reset: the keys stay, and revisions start again at 1.
+    ResetHistory {
         other_cluster: bool,
     },
 }
@@ -57,15 +57,15 @@
         3 => id().prop_map(|id| Step::Delete { id }),
         6 => Just(Step::Changes { replayed: 0 }),
         2 => (0u64..8).prop_map(|replayed| Step::Changes { replayed }),
-        2 => Just(Step::Read),
+        2 => Just(Step::ConsistentRead),
         2 => (0u64..8).prop_map(|lag| Step::StaleRead { lag }),
-        1 => any::<bool>().prop_map(|other_cluster| Step::BeginAnew { other_cluster }),
+        1 => any::<bool>().prop_map(|other_cluster| Step::ResetHistory { other_cluster }),
     ]
 }
 
 struct Registry {
     position: Position,
-    live: BTreeMap<String, MemberUpdate>,
+    members: BTreeMap<String, MemberUpdate>,
     history: Vec<MemberUpdate>,
     /// The list at each revision, for followers that lag.
     lists: BTreeMap<u64, Vec<MemberUpdate>>,
@@ -78,17 +78,18 @@
                 cluster: ClusterId(1),
                 revision: 1,
             },
-            live: BTreeMap::new(),
+            members: BTreeMap::new(),
             history: Vec::new(),
             lists: BTreeMap::new(),
         }
     }
 
-    fn change(&mut self, id: u8, put: Option<(u16, MemberState)>) {
+    /// Writes a member's key, or deletes it.
+    fn write(&mut self, id: u8, put: Option<(u16, MemberState)>) {
         self.position.revision += 1;
         let (id, revision) = (format!("s-{id}"), self.position.revision);
         let create_revision = self
-            .live
+            .members
             .get(&id)
             .map_or(revision, |old| old.create_revision);
         let record = put.map(|(port, state)| MemberRecord {
@@ -106,28 +107,28 @@
             record,
         };
         if update.record.is_some() {
-            self.live.insert(id, update.clone());
+            self.members.insert(id, update.clone());
         } else {
-            self.live.remove(&id);
+            self.members.remove(&id);
         }
         self.history.push(update);
         self.lists.insert(revision, self.list());
     }
 
-    fn begin_anew(&mut self, other_cluster: bool) {
+    fn reset_history(&mut self, other_cluster: bool) {
         self.position.cluster.0 += u64::from(other_cluster);
         self.position.revision = 1;
         (self.history, self.lists) = (Vec::new(), BTreeMap::new());
-        for update in self.live.values_mut() {
+        for update in self.members.values_mut() {
             (update.revision, update.create_revision) = (1, 1);
         }
     }
 
     fn list(&self) -> Vec<MemberUpdate> {
-        self.live.values().cloned().collect()
+        self.members.values().cloned().collect()
     }
 
-    fn since(&self, revision: u64) -> Vec<MemberUpdate> {
+    fn changes_after(&self, revision: u64) -> Vec<MemberUpdate> {
         self.history
             .iter()
             .filter(|update| update.revision > revision)
@@ -136,7 +137,7 @@
     }
 
     fn records(&self) -> BTreeMap<String, MemberRecord> {
-        self.live
+        self.members
             .iter()
             .map(|(id, update)| (id.clone(), update.record.clone().unwrap()))
             .collect()
@@ -163,31 +164,36 @@
     })
 }
 
-fn changes(
+fn report_changes(
     registry: &Registry,
     source: &mut Source,
     now: Instant,
     replayed: u64,
 ) -> TestCaseResult {
     let known = source.position().unwrap();
-    let updates = registry.since(known.revision.saturating_sub(replayed));
+    let updates = registry.changes_after(known.revision.saturating_sub(replayed));
     let report = SourceInput::Changes {
         position: registry.position,
         updates,
     };
     let outcome = source.handle(now, report);
-    // A watch of a registry whose history started again with the same cluster id resumes at a revision that the registry
-    // does not have yet: its answer cannot be told from an outdated one, and a full read settles it.
-    let restarted =
+    // If the history was reset and the cluster id is the same, the watch resumes at a revision that the registry has not
+    // reached yet. Its report cannot be distinguished from an outdated one, and a full read is needed.
+    let is_reset =
         known.cluster != registry.position.cluster || known.revision > registry.position.revision;
-    prop_assert_eq!(outcome != SourceOutput::Applied, restarted);
+    prop_assert_eq!(outcome != SourceOutput::Applied, is_reset);
     if outcome == SourceOutput::Applied {
         prop_assert_eq!(records(source), registry.records());
     }
     Ok(())
 }
 
-fn stale_read(registry: &Registry, source: &mut Source, now: Instant, lag: u64) -> TestCaseResult {
+fn report_stale_list(
+    registry: &Registry,
+    source: &mut Source,
+    now: Instant,
+    lag: u64,
+) -> TestCaseResult {
     let revision = registry.position.revision.saturating_sub(lag);
     let Some(list) = registry.lists.get(&revision).cloned() else {
         return Ok(());
@@ -209,22 +215,27 @@
     Ok(())
 }
 
-fn play(step: Step, registry: &mut Registry, source: &mut Source, now: Instant) -> TestCaseResult {
+fn apply_step(
+    step: Step,
+    registry: &mut Registry,
+    source: &mut Source,
+    now: Instant,
+) -> TestCaseResult {
     match step {
-        Step::Put { id, port, state } => registry.change(id, Some((port, state))),
-        Step::Delete { id } => registry.change(id, None),
-        Step::Changes { replayed } => changes(registry, source, now, replayed)?,
-        Step::Read => {
+        Step::Put { id, port, state } => registry.write(id, Some((port, state))),
+        Step::Delete { id } => registry.write(id, None),
+        Step::Changes { replayed } => report_changes(registry, source, now, replayed)?,
+        Step::ConsistentRead => {
             let (position, list) = (registry.position, registry.list());
             let outcome =
                 source.handle(now, full_list(position, ReadConsistency::Consistent, list));
             prop_assert_eq!(outcome, SourceOutput::Applied);
-            prop_assert_eq!(records(source).len(), registry.live.len());
+            prop_assert_eq!(records(source).len(), registry.members.len());
         }
-        Step::StaleRead { lag } => stale_read(registry, source, now, lag)?,
-        Step::BeginAnew { other_cluster } => {
-            // The restart of a registry breaks the connection, and a full read follows.
-            registry.begin_anew(other_cluster);
+        Step::StaleRead { lag } => report_stale_list(registry, source, now, lag)?,
+        Step::ResetHistory { other_cluster } => {
+            // The connection is lost with the reset, and a full read follows.
+            registry.reset_history(other_cluster);
             let (position, list) = (registry.position, registry.list());
             source.handle(now, full_list(position, ReadConsistency::Consistent, list));
         }
@@ -244,11 +255,11 @@
         let empty = full_list(registry.position, ReadConsistency::Consistent, Vec::new());
         let start = Instant::now();
         membership.source_mut(REGISTRY).handle(start, empty);
-        // What is known from changes alone.
+        // The members as the reported changes add up to them.
         let mut known = BTreeMap::<String, MemberRecord>::new();
         for (elapsed, step) in (0u64..).zip(steps) {
             let now = start + Duration::from_nanos(elapsed);
-            play(step, &mut registry, membership.source_mut(REGISTRY), now)?;
+            apply_step(step, &mut registry, membership.source_mut(REGISTRY), now)?;
             for change in membership.take_changes(now) {
                 if let Some(record) = change.record {
                     known.insert(change.id, record);
--- a/crates/membership/tests/watch_schedules.rs
+++ b/crates/membership/tests/watch_schedules.rs
@@ -1,5 +1,5 @@
-//! Every schedule of up to three writes, one compaction and two breaks, with deliveries between: none loses a change,
-//! and none reports one twice. The watch and the merged membership run against a registry in memory.
+//! Runs the watch and the merged membership against an in-memory registry, in every order of three writes, one compaction,
+//! two lost connections and up to two message deliveries. No order may lose a change or report one twice.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -16,23 +16,23 @@
 const REGISTRY: SourceId = SourceId(0);
 /// Time between two messages.
 const MESSAGE_INTERVAL: Duration = Duration::from_nanos(1);
-/// Deliveries after which a watch that does not follow again never will.
+/// Maximum number of deliveries until the watch must be up to date again.
 const MAX_DELIVERIES: usize = 200;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     Write,
     Compact,
-    Break,
+    Disconnect,
     Deliver,
 }
 
-/// What a write does to the one key that all writes concern.
+/// The kinds of writes. All of them apply to the same key.
 #[derive(Clone, Copy, Debug)]
 enum Write {
     Put,
     Delete,
-    /// Removed and put again in one transaction: two events in one answer.
+    /// The key is deleted and created again in one transaction: two events in one response.
     Recreate,
 }
 
@@ -47,16 +47,16 @@
         position: Position,
         updates: Vec<MemberUpdate>,
     },
-    /// There is nothing else up to this position.
+    /// There are no further changes up to this position.
     Progress(Position),
     Compacted,
 }
 
-/// The registry's store and its history.
+/// A registry with its keys and their history.
 struct Registry {
     revision: u64,
     compacted: u64,
-    live: BTreeMap<String, MemberUpdate>,
+    members: BTreeMap<String, MemberUpdate>,
     history: Vec<MemberUpdate>,
 }
 
@@ -70,20 +70,20 @@
         for put in puts {
             self.revision += 1;
             let create_revision = self
-                .live
+                .members
                 .get("a")
                 .map_or(self.revision, |old| old.create_revision);
             let update = MemberUpdate {
                 id: "a".into(),
                 revision: self.revision,
                 create_revision,
-                // Another port each time would hide new incarnations: only the capacity changes.
+                // Only the capacity changes: a change of the port would be a new incarnation by itself.
                 record: put.then(|| record(self.revision as f64)),
             };
             if *put {
-                self.live.insert("a".into(), update.clone());
+                self.members.insert("a".into(), update.clone());
             } else {
-                self.live.remove("a");
+                self.members.remove("a");
             }
             self.history.push(update);
         }
@@ -99,7 +99,7 @@
         at(self.revision)
     }
 
-    fn since(&self, revision: u64) -> Vec<MemberUpdate> {
+    fn changes_from(&self, revision: u64) -> Vec<MemberUpdate> {
         self.history
             .iter()
             .filter(|update| update.revision >= revision)
@@ -110,14 +110,16 @@
 
 struct Simulation {
     registry: Registry,
-    /// The next revision that the watch wants, while there is a watch.
+    /// The next revision to send on the watch; `None` without a watch.
     watch_from: Option<u64>,
-    wire: VecDeque<Message>,
+    /// Messages that were sent and not yet delivered.
+    in_flight: VecDeque<Message>,
     machine: WatchMachine,
     membership: MergedMembership,
     now: Instant,
-    /// What is known from changes alone, and how many new incarnations these reported.
+    /// The members as the reported changes add up to them.
     known: BTreeMap<String, MemberRecord>,
+    /// Number of new incarnations among the reported changes.
     incarnations: usize,
 }
 
@@ -140,8 +142,8 @@
 }
 
 impl Simulation {
-    /// With one member, and a watch that follows.
-    fn following() -> Self {
+    /// A registry with one member, and a watch that is up to date.
+    fn up_to_date() -> Self {
         let timing = WatchTiming {
             progress_interval: Duration::from_millis(100),
             response_timeout: Duration::from_millis(150),
@@ -155,13 +157,13 @@
         let registry = Registry {
             revision: 1,
             compacted: 0,
-            live: BTreeMap::new(),
+            members: BTreeMap::new(),
             history: Vec::new(),
         };
         let mut simulation = Simulation {
             registry,
             watch_from: None,
-            wire: VecDeque::new(),
+            in_flight: VecDeque::new(),
             machine: WatchMachine::new(now, timing, 1, None),
             membership: MergedMembership::new(1, Duration::MAX),
             now,
@@ -169,7 +171,7 @@
             incarnations: 0,
         };
         simulation.registry.write(Write::Put);
-        while !simulation.settled() {
+        while !simulation.is_up_to_date() {
             simulation.deliver();
         }
         simulation
@@ -179,9 +181,9 @@
         match step {
             Step::Write => self.registry.write(*writes.next().unwrap()),
             Step::Compact => self.registry.compact(),
-            Step::Break => {
+            Step::Disconnect => {
                 self.watch_from = None;
-                self.wire.clear();
+                self.in_flight.clear();
                 self.now += MESSAGE_INTERVAL;
                 self.input(WatchInput::ConnectionLost);
             }
@@ -191,54 +193,54 @@
 
     fn input(&mut self, input: WatchInput) {
         for output in self.machine.handle(self.now, input) {
-            self.carry_out(output);
+            self.perform(output);
         }
     }
 
-    fn carry_out(&mut self, output: WatchOutput) {
+    fn perform(&mut self, output: WatchOutput) {
         match output {
-            WatchOutput::Connect { .. } => self.wire = [Message::Connected].into(),
-            WatchOutput::ReadList => self.wire.push_back(Message::List {
+            WatchOutput::Connect { .. } => self.in_flight = [Message::Connected].into(),
+            WatchOutput::ReadList => self.in_flight.push_back(Message::List {
                 position: self.registry.position(),
-                updates: self.registry.live.values().cloned().collect(),
+                updates: self.registry.members.values().cloned().collect(),
             }),
             WatchOutput::Watch { from } => {
                 self.watch_from = Some(from);
-                self.wire.push_back(Message::WatchCreated);
+                self.in_flight.push_back(Message::WatchCreated);
             }
             WatchOutput::RequestProgress => {
                 let revision = self.watch_from.map_or(0, |next| next - 1);
-                self.wire.push_back(Message::Progress(at(revision)));
+                self.in_flight.push_back(Message::Progress(at(revision)));
             }
             WatchOutput::Disconnect { .. } => {
                 self.watch_from = None;
-                self.wire.clear();
+                self.in_flight.clear();
             }
         }
     }
 
-    /// The registry sends what the watch has not been sent.
+    /// Sends the changes that were not yet sent on the watch.
     fn send_changes(&mut self) {
         let Some(from) = self.watch_from else { return };
         if from < self.registry.compacted {
             self.watch_from = None;
-            return self.wire.push_back(Message::Compacted);
+            return self.in_flight.push_back(Message::Compacted);
         }
-        let updates = self.registry.since(from);
+        let updates = self.registry.changes_from(from);
         if !updates.is_empty() {
             self.watch_from = Some(self.registry.revision + 1);
-            self.wire.push_back(Message::Changes {
+            self.in_flight.push_back(Message::Changes {
                 position: self.registry.position(),
                 updates,
             });
         }
     }
 
-    /// One message arrives, or time passes until something is due.
+    /// Delivers one message, or advances the time to the next deadline if there is none.
     fn deliver(&mut self) {
         self.send_changes();
         self.now += MESSAGE_INTERVAL;
-        let message = self.wire.pop_front();
+        let message = self.in_flight.pop_front();
         let source = self.membership.source_mut(REGISTRY);
         let input = match message {
             None => {
@@ -281,8 +283,8 @@
         }
     }
 
-    fn settled(&self) -> bool {
-        self.wire.is_empty()
+    fn is_up_to_date(&self) -> bool {
+        self.in_flight.is_empty()
             && self.machine.is_live()
             && self
                 .watch_from
@@ -290,43 +292,50 @@
     }
 }
 
-fn play(steps: &[Step], writes: &[Write]) {
-    let mut simulation = Simulation::following();
+fn check_schedule(steps: &[Step], writes: &[Write]) {
+    let mut simulation = Simulation::up_to_date();
     let mut writes = writes.iter();
     for step in steps {
         simulation.step(*step, &mut writes);
     }
     for _ in 0..MAX_DELIVERIES {
-        if simulation.settled() {
+        if simulation.is_up_to_date() {
             break;
         }
         simulation.deliver();
     }
-    assert!(simulation.settled(), "it never follows again: {steps:?}");
-    let live: BTreeMap<_, _> = simulation
+    assert!(
+        simulation.is_up_to_date(),
+        "watch is not up to date after {MAX_DELIVERIES} deliveries: {steps:?}"
+    );
+    let members: BTreeMap<_, _> = simulation
         .registry
-        .live
+        .members
         .iter()
         .map(|(id, update)| (id.clone(), update.record.clone().unwrap()))
         .collect();
-    assert_eq!(simulation.known, live, "{steps:?}");
+    assert_eq!(simulation.known, members, "{steps:?}");
     // The first incarnation, and at most one for each write.
     let writes = steps.iter().filter(|step| **step == Step::Write).count();
     assert!(simulation.incarnations <= 1 + writes, "{steps:?}");
 }
 
-/// Calls `visit` with every order of the steps that are left.
-fn orders(left: &mut [(Step, usize)], so_far: &mut Vec<Step>, visit: &mut dyn FnMut(&[Step])) {
-    if left.iter().all(|(_, count)| *count == 0) {
-        return visit(so_far);
+/// Calls `visit` with every order of the remaining steps, each preceded by `prefix`.
+fn for_each_order(
+    remaining: &mut [(Step, usize)],
+    prefix: &mut Vec<Step>,
+    visit: &mut dyn FnMut(&[Step]),
+) {
+    if remaining.iter().all(|(_, count)| *count == 0) {
+        return visit(prefix);
     }
-    for index in 0..left.len() {
-        if left[index].1 > 0 {
-            left[index].1 -= 1;
-            so_far.push(left[index].0);
-            orders(left, so_far, visit);
-            so_far.pop();
-            left[index].1 += 1;
+    for index in 0..remaining.len() {
+        if remaining[index].1 > 0 {
+            remaining[index].1 -= 1;
+            prefix.push(remaining[index].0);
+            for_each_order(remaining, prefix, visit);
+            prefix.pop();
+            remaining[index].1 += 1;
         }
     }
 }
@@ -334,22 +343,22 @@
 #[test]
 fn no_schedule_of_writes_compactions_and_breaks_loses_or_repeats_a_change() {
     const WRITES: [Write; 3] = [Write::Put, Write::Delete, Write::Recreate];
-    let mut played = 0;
+    let mut schedules = 0;
     for deliveries in [0, 2] {
-        let mut left = [
+        let mut remaining = [
             (Step::Write, 3),
             (Step::Compact, 1),
-            (Step::Break, 2),
+            (Step::Disconnect, 2),
             (Step::Deliver, deliveries),
         ];
-        orders(&mut left, &mut Vec::new(), &mut |steps| {
+        for_each_order(&mut remaining, &mut Vec::new(), &mut |steps| {
             for kinds in 0..27 {
                 let writes = [WRITES[kinds % 3], WRITES[kinds / 3 % 3], WRITES[kinds / 9]];
-                play(steps, &writes);
-                played += 1;
+                check_schedule(steps, &writes);
+                schedules += 1;
             }
         });
     }
-    // 60 orders without deliveries and 1,680 with two, 27 kinds of writes each.
-    assert_eq!(played, (60 + 1_680) * 27);
+    // 60 orders without deliveries and 1,680 with two, each with 27 combinations of writes.
+    assert_eq!(schedules, (60 + 1_680) * 27);
 }
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -173,7 +173,8 @@
     let head = |head: &str| [head.as_bytes(), &bytes[18..]].concat();
     let mut flipped = bytes.clone();
     flipped[100] ^= 1;
-    let torn = "snapshot is incomplete or changed: its length or checksum differs from its header";
+    let torn =
+        "snapshot is truncated or corrupted: its length or checksum does not match its header";
     for (bytes, why) in [
         (&bytes[..bytes.len() - 1], torn),
         (&flipped, torn),
@@ -187,11 +188,11 @@
         ),
         (
             &head("applewall-roster 2"),
-            "snapshot has version 2, this program reads 1",
+            "snapshot has version 2, this program reads version 1",
         ),
         (
             &head("applewall-roster 0"),
-            "snapshot has version 0, this program reads 1",
+            "snapshot has version 0, this program reads version 1",
         ),
     ] {
         assert_eq!(refusal(bytes, &LIMITS), why);
@@ -211,7 +212,7 @@
     };
     assert_eq!(
         at(1_700_010_000_000, None),
-        "snapshot is 9999 s old, allowed are 3600 s"
+        "snapshot is 9999 s old, the maximum is 3600 s"
     );
     assert_eq!(
         at(1_699_999_000_000, None),
@@ -219,7 +220,7 @@
     );
     assert_eq!(
         at(LIMITS.now_ms, Some(8)),
-        "snapshot is of cluster feed000000000001, expected 8"
+        "snapshot is from cluster feed000000000001, expected 8"
     );
 }
 
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -157,7 +157,7 @@
     let reported = || {
         third.log().iter().any(|line| {
             line.contains("registry snapshot not used")
-                && line.contains("snapshot is incomplete or changed")
+                && line.contains("snapshot is truncated or corrupted")
         })
     };
     wait_until("it is told", reported).await;
