--- a/crates/admin/src/shutdown_deadlines.rs
+++ b/crates/admin/src/shutdown_deadlines.rs
@@ -1,9 +1,9 @@
 //! The deadlines of a shutdown, counted from SIGTERM.
 //!
 //! The platform sends new connections for 0.2 to 0.4 s after SIGTERM, and kills the process at SIGTERM plus the longest
-//! request deadline plus [`KILL_MARGIN`]. All deadlines follow from these two facts and from the longest request deadline in
-//! the settings: a request that was accepted just before SIGTERM has its full deadline, and is lost if the process exits
-//! earlier; a request that is unanswered at the kill is lost too.
+//! request deadline plus [`KILL_MARGIN`]. All deadlines are derived from these two facts and from the longest request
+//! deadline in the settings. A request that is accepted just before SIGTERM has its full deadline, and is lost if the
+//! process exits earlier; a request without a response at the time of the kill is lost as well.
 
 use std::time::Duration;
 
@@ -11,61 +11,62 @@
 /// up to 0.4 s; the rest is a margin.
 pub(crate) const TERMINATION_ACCEPT_PERIOD: Duration = Duration::from_millis(600);
 
-/// Time from SIGTERM plus the longest request deadline to the kill.
+/// Time that the platform adds to the longest request deadline before it kills the process.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// The platform counts the longest request deadline up to this bound when it schedules the kill, so the kill comes no later
-/// than this plus [`KILL_MARGIN`]. Without a kill, the process waits at least this long for its last responses.
+/// Upper bound of the longest request deadline that the platform takes into account when it schedules the kill, which is
+/// therefore no later than this plus [`KILL_MARGIN`]. If no other process has taken over, this process waits at least this
+/// long for its last responses.
 const PLATFORM_DEADLINE_BOUND: Duration = Duration::from_secs(3);
 
-/// If another process has taken over: time between the closing of idle connections and the kill, so that a client can
-/// still send its last request and read the response.
+/// If another process has taken over: time between the closing of idle connections and the kill, so that a client can still
+/// send a last request and receive the response.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
 
 /// If no process has taken over: time between the last response to a late request and the kill.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(100);
 
-/// If another process has taken over: as [`RESPONSE_MARGIN`], but larger, since that process serves all new connections
-/// and this one gains nothing by using the time up to the kill.
+/// If another process has taken over: like [`RESPONSE_MARGIN`], but larger. The other process serves all new connections,
+/// so that there is no benefit in using all the time up to the kill.
 const REPLACED_RESPONSE_MARGIN: Duration = Duration::from_millis(400);
 
-/// Time for the response of a request in flight at SIGTERM to be written, beyond the request's own deadline.
+/// Time to write the response to a request that was in flight at SIGTERM, after the request's own deadline.
 const RESPONSE_WRITE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Whether another process has taken over when a shutdown begins.
+/// Whether another process has taken over when the shutdown begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownMode {
-    /// No process has taken over: the platform still sends new connections for a moment.
+    /// No other process has taken over; the platform still sends new connections for a short time.
     Standalone,
     /// Another process has taken over and accepts all new connections.
     Replaced,
 }
 
-/// Requests that arrive late in a shutdown have to be answered by a fixed time, even if their own deadline is later, since
-/// the kill would lose them. Both times count from SIGTERM.
+/// Limits for requests that arrive late in a shutdown. Their responses are due at a fixed time even if their own deadline is
+/// later, because the kill would lose them. Both times count from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LateRequestWindow {
-    /// Requests accepted from this time on are late.
+    /// Requests that are accepted after this time are late.
     pub begins_after: Duration,
-    /// A late request has to be answered by this time.
-    pub answer_within: Duration,
+    /// The response to a late request is due at this time.
+    pub respond_within: Duration,
 }
 
-/// The deadlines of a shutdown, for a given longest request deadline.
+/// The deadlines of a shutdown, derived from the longest request deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownDeadlines {
     longest_request_deadline: Duration,
 }
 
 impl ShutdownDeadlines {
-    /// The deadlines for a longest request deadline, over all classes.
+    /// Creates the deadlines for the longest request deadline of all classes.
     pub fn new(longest_request_deadline: Duration) -> Self {
         ShutdownDeadlines {
             longest_request_deadline,
         }
     }
 
-    /// The earliest time of the platform's kill.
+    /// The earliest time at which the platform kills the process.
     fn kill_after(self) -> Duration {
         self.longest_request_deadline.min(PLATFORM_DEADLINE_BOUND) + KILL_MARGIN
     }
@@ -78,21 +79,21 @@
         }
     }
 
-    /// Which requests count as late, and by when they have to be answered.
+    /// Which requests are late, and when their responses are due.
     pub fn late_requests(self, mode: ShutdownMode) -> LateRequestWindow {
         match mode {
             ShutdownMode::Standalone => LateRequestWindow {
                 begins_after: TERMINATION_ACCEPT_PERIOD,
-                answer_within: self.kill_after() - RESPONSE_MARGIN,
+                respond_within: self.kill_after() - RESPONSE_MARGIN,
             },
             ShutdownMode::Replaced => LateRequestWindow {
                 begins_after: Duration::ZERO,
-                answer_within: self.kill_after() - REPLACED_RESPONSE_MARGIN,
+                respond_within: self.kill_after() - REPLACED_RESPONSE_MARGIN,
             },
         }
     }
 
-    /// When the process exits even if connections are open: by then every accepted request has its response.
+    /// When the process exits even if connections are still open. Every accepted request has its response by then.
     pub fn exit_after(self, mode: ShutdownMode) -> Duration {
         match mode {
             ShutdownMode::Standalone => {
--- a/crates/admin/src/shutdown_deadlines/tests.rs
+++ b/crates/admin/src/shutdown_deadlines/tests.rs
@@ -1,4 +1,4 @@
-//! The deadlines of a shutdown, for short, usual and very long request deadlines.
+//! The deadlines of a shutdown, for short, typical and very long request deadlines.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 fn a_request_accepted_before_a_stop_has_its_whole_deadline_before_the_process_exits() {
     for longest in [200, 480, 1_000, 3_000, 4_110, 30_000] {
         let deadlines = ShutdownDeadlines::new(MILLIS(longest));
-        // The last connection that is accepted as usual, with the longest deadline there is.
+        // A request that is accepted at the end of the accept period, with the longest deadline.
         assert!(
             deadlines.exit_after(ShutdownMode::Standalone)
                 > TERMINATION_ACCEPT_PERIOD + MILLIS(longest),
@@ -21,12 +21,12 @@
             let late = deadlines.late_requests(mode);
             assert!(
                 late.begins_after <= MILLIS(700)
-                    && late.begins_after < late.answer_within
-                    && late.answer_within < kill,
+                    && late.begins_after < late.respond_within
+                    && late.respond_within < kill,
                 "{longest} ms, {mode:?}"
             );
             assert!(
-                late.answer_within < deadlines.exit_after(mode),
+                late.respond_within < deadlines.exit_after(mode),
                 "{longest} ms, {mode:?}"
             );
         }
@@ -38,7 +38,7 @@
             deadlines.keep_alive_for(ShutdownMode::Replaced)
                 < deadlines
                     .late_requests(ShutdownMode::Replaced)
-                    .answer_within,
+                    .respond_within,
             "{longest} ms"
         );
     }
--- a/src/daemon/lifecycle/shutdown.rs
+++ b/src/daemon/lifecycle/shutdown.rs
@@ -163,7 +163,7 @@
     let (now, late) = (std::time::Instant::now(), deadlines.late_requests(mode));
     ShutdownTimes {
         late_from: now + late.begins_after,
-        late_answered_by: now + late.answer_within,
+        late_answered_by: now + late.respond_within,
         exit_at: now + deadlines.exit_after(mode),
     }
 }
