--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -1,23 +1,23 @@
 //! The admin protocol: one command line, one response line.
 //!
-//! Operators' scripts rely on the spelling of both lines. Control characters of a rejected line are replaced in the
-//! response, so that a response is always a single line.
+//! Operators' scripts depend on the exact text of both lines. Control characters of a rejected line are replaced in the
+//! response, so that the response is always a single line.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// Maximum length of a command line, in bytes without its line end. A command is two short words; the bound limits the
-/// memory that a caller which sends something else can use.
+/// Maximum length of a command line in bytes, without its line ending. A command is at most two short words; the maximum
+/// limits the memory that a caller can use that sends something else.
 pub const MAX_COMMAND_LINE_BYTES: usize = 512;
 
-/// Maximum number of characters of an unexpected word that an error quotes: enough to recognize a typing error, short
-/// enough for one line.
+/// Maximum number of characters of an unexpected word that are quoted in an error: enough to recognize a typing error, and
+/// short enough for one line.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// A command of an operator.
+/// An admin command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Report whether this process can serve.
+    /// Report whether this process can serve requests.
     Ready,
     /// Put the endpoint with this id into maintenance.
     Disable(String),
@@ -29,24 +29,24 @@
     Undrain,
 }
 
-/// Why a command line is rejected. The response has this text, which scripts may read.
+/// Why a command line is rejected. The text is part of the response, and scripts may parse it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
     /// The line is blank.
     #[error("no call: the line is empty")]
     Empty,
-    /// The first word is none of the commands.
+    /// The first word is not a command.
     #[error("unknown call '{0}'; known are READY, DISABLE ID, ENABLE ID, DRAIN, UNDRAIN")]
     Unknown(String),
     /// The command requires an endpoint id.
     #[error("{0}: which instance? An id is missing")]
     MissingId(&'static str),
-    /// A word follows the complete command.
+    /// There is another word after the complete command.
     #[error("{command}: '{token}' is one word too many")]
     TrailingWord {
         /// The command.
         command: &'static str,
-        /// The first word too many, shortened and without control characters.
+        /// The first extra word, truncated and without control characters.
         token: String,
     },
 }
@@ -65,7 +65,7 @@
 }
 
 impl fmt::Display for AdminCommand {
-    /// The command line without its line end, which [`FromStr`] parses.
+    /// Writes the command line without its line ending. [`FromStr`] parses it.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             AdminCommand::Disable(id) | AdminCommand::Enable(id) => {
@@ -79,7 +79,7 @@
 impl FromStr for AdminCommand {
     type Err = CommandError;
 
-    /// Parses a line without its line end. Words are separated by any ASCII white space; commands are upper case.
+    /// Parses a line without its line ending. Words are separated by ASCII white space; commands are in upper case.
     fn from_str(line: &str) -> Result<Self, CommandError> {
         let mut tokens = line.split_ascii_whitespace();
         let name = tokens.next().ok_or(CommandError::Empty)?;
@@ -105,7 +105,7 @@
     }
 }
 
-/// The beginning of a caller's word, without control characters.
+/// A word of a caller, truncated and with its control characters replaced.
 fn printable(token: &str) -> String {
     token
         .chars()
@@ -117,9 +117,9 @@
 /// The response to a command: one line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminResponse {
-    /// The command was carried out, with its result, which may be empty.
+    /// The command was executed; its result may be empty.
     Done(String),
-    /// The command was rejected and nothing was changed, with the reason.
+    /// The command was rejected for this reason, and nothing was changed.
     Error(String),
 }
 
--- a/crates/admin/src/command/tests.rs
+++ b/crates/admin/src/command/tests.rs
@@ -1,4 +1,4 @@
-//! Reading command lines and writing responses.
+//! Parsing of command lines, and the text of commands and responses.
 
 use proptest::prelude::*;
 
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,10 +1,10 @@
-//! Commands of operators, and the lifecycle of the process, without I/O and without a clock.
+//! Admin commands and the lifecycle of the process, without I/O and without a clock.
 //!
-//! - [`AdminCommand`], [`AdminResponse`]: the grammar of one command line and of its one-line response;
-//! - [`MaintenanceSet`]: the endpoints that operators have taken out of service, with [`state_file`] as its form on disk;
-//! - [`Lifecycle`]: the state machine of drain and shutdown, with [`ShutdownDeadlines`] for the timing of a shutdown.
+//! - [`AdminCommand`], [`AdminResponse`]: the grammar of a command line and of its one-line response;
+//! - [`MaintenanceSet`]: the endpoints that operators have put into maintenance; [`state_file`] is its format on disk;
+//! - [`Lifecycle`]: the state machine of drain and shutdown; [`ShutdownDeadlines`] has the timing of a shutdown.
 //!
-//! Callers pass in lines, inputs and the present time, and receive values. The program owns sockets, files and timers.
+//! The caller passes in command lines, inputs and the current time. It owns all sockets, files and timers.
 
 mod command;
 mod lifecycle;
--- a/crates/admin/src/lifecycle.rs
+++ b/crates/admin/src/lifecycle.rs
@@ -1,46 +1,46 @@
-//! The lifecycle of the process from serving through drain to shutdown, as a state machine without a clock.
+//! State machine of the process's lifecycle, from serving through drain to shutdown, without a clock.
 //!
 //! ```text
-//! Serving --drain--> Draining --0.5 s--> Drained        undrain leads back to Serving
+//! Serving --drain--> Draining --0.5 s--> Drained        undrain returns to Serving
 //!    any of these --stop--> Terminating or TerminatingReplaced --deadline--> Closing
 //! ```
 //!
-//! Drain, SIGTERM and hot restart all change this one state, so that they cannot disagree about what connections should do.
-//! A stop overrides a drain; a process that stops never returns to service.
+//! Drain, SIGTERM and hot restart all change this one state, so that all connections follow the same rules. A stop overrides
+//! a drain; a process that is stopping never returns to service.
 
 use std::time::Duration;
 
 use crate::{ShutdownDeadlines, ShutdownMode};
 
-/// How long a draining process serves as usual. After `DRAIN` the load balancer in front polls `/healthz` every 0.1 s
-/// and sends new connections for 0.2 s after the first failure; the rest is a margin.
+/// How long a draining process serves as usual. The load balancer in front polls `/healthz` every 0.1 s, and sends new
+/// connections for 0.2 s after the first failed check; the rest is a margin.
 const DRAIN_NOTICE_PERIOD: Duration = Duration::from_millis(500);
 
 /// The phase of the process between serving and its exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecyclePhase {
-    /// Requests are served without restriction.
+    /// Serves requests without restrictions.
     Serving,
-    /// `/healthz` reports failure; requests are served as before while the load balancer still sends connections.
+    /// Reports failure at `/healthz`, and serves requests as before while the load balancer still sends connections.
     Draining,
-    /// Each response closes its connection and idle connections are closed; new connections are still served.
+    /// Closes each connection after its next response, and closes idle connections. New connections are still served.
     Drained,
-    /// Told to stop, with no other process that has taken over: new connections are accepted, and each connection is
-    /// closed with its next response.
+    /// Told to stop, and no other process has taken over: accepts new connections, and closes each connection after its
+    /// next response.
     Terminating,
-    /// Told to stop, and another process accepts new connections; otherwise as [`LifecyclePhase::Terminating`].
+    /// Like [`LifecyclePhase::Terminating`], but another process has taken over and accepts the new connections.
     TerminatingReplaced,
-    /// Idle connections are closed, and the process exits with the last response.
+    /// Closes idle connections, and exits after the last response.
     Closing,
 }
 
 impl LifecyclePhase {
-    /// True if each response is the last one of its connection.
+    /// True if each connection is closed after its next response.
     pub fn closes_after_response(self) -> bool {
         !matches!(self, LifecyclePhase::Serving | LifecyclePhase::Draining)
     }
 
-    /// True from SIGTERM on.
+    /// True after the process was told to stop.
     pub fn is_stopping(self) -> bool {
         matches!(
             self,
@@ -50,12 +50,12 @@
         )
     }
 
-    /// True if `/healthz` reports success. It does so during a stop, which the platform itself initiated.
+    /// True if `/healthz` reports success. It also does during a stop, since the platform itself initiated the stop.
     pub fn reports_healthy(self) -> bool {
         !matches!(self, LifecyclePhase::Draining | LifecyclePhase::Drained)
     }
 
-    /// One word for the log and for the response to `READY`.
+    /// The word for the phase in the log and in the response to `READY`.
     pub fn as_str(self) -> &'static str {
         match self {
             LifecyclePhase::Serving => "serving",
@@ -70,37 +70,37 @@
 /// An input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleInput {
-    /// An operator asks for a drain. Has no effect on a process that drains already.
+    /// An operator starts a drain. No effect if the process is draining already.
     Drain,
-    /// An operator ends a drain. Without a drain, `Serving` is entered anew.
+    /// An operator ends a drain. Without a drain, `Serving` is entered again.
     Undrain,
-    /// The process is told to stop. Has no effect on a process that stops already.
+    /// The process is told to stop. No effect if the process is stopping already.
     Stop(ShutdownMode),
-    /// Time has passed; due at [`Lifecycle::next_deadline`], and harmless at any other time.
+    /// Time has passed; due at [`Lifecycle::next_deadline`], without effect before it.
     Tick,
 }
 
-/// Why an input is rejected; the text goes to the operator.
+/// Why an input is rejected. The text is sent to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LifecycleError {
-    /// A process that stops exits without a drain.
+    /// A process that is stopping exits without a drain.
     #[error("this process was told to stop and ends by itself")]
     DrainWhileStopping,
-    /// A process that stops does not return to service.
+    /// A process that is stopping does not return to service.
     #[error("this process was told to stop; there is no way back")]
     UndrainWhileStopping,
 }
 
-/// What an input did to the phase.
+/// The effect of an input on the phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PhaseChange {
-    /// The phase is as before.
+    /// The phase has not changed.
     Unchanged,
-    /// A phase was entered, possibly `Serving` anew.
+    /// A phase was entered; `Serving` may have been entered again.
     Entered(LifecyclePhase),
 }
 
-/// The phase, with what only that phase has: a deadline exists in phases that time ends, and in no other.
+/// The phase with the data that it needs. Only the phases that end after some time have a deadline.
 #[derive(Clone, Copy, Debug)]
 enum State {
     Serving,
@@ -110,7 +110,7 @@
     Closing,
 }
 
-/// The state machine: the present phase, and when the next one is due.
+/// The state machine of the lifecycle.
 #[derive(Clone, Copy, Debug)]
 pub struct Lifecycle {
     state: State,
@@ -118,7 +118,7 @@
 }
 
 impl Lifecycle {
-    /// A process that serves.
+    /// Creates the lifecycle of a process that is serving.
     pub fn new(shutdown_deadlines: ShutdownDeadlines) -> Self {
         Lifecycle {
             state: State::Serving,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The present phase.
+    /// The current phase.
     pub fn phase(&self) -> LifecyclePhase {
         match self.state {
             State::Serving => LifecyclePhase::Serving,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// When the next [`LifecycleInput::Tick`] is due.
+    /// When the next [`LifecycleInput::Tick`] is due; `None` if the phase has no deadline.
     pub fn next_deadline(&self) -> Option<Duration> {
         match self.state {
             State::Draining { until } | State::Stopping { until, .. } => Some(until),
@@ -148,11 +148,11 @@
         }
     }
 
-    /// Handles an input; `now` counts from any fixed moment.
+    /// Handles an input. `now` is the time since any fixed origin.
     ///
     /// # Errors
     ///
-    /// The input begins or ends a drain of a process that stops.
+    /// The input starts or ends a drain, but the process is stopping.
     pub fn handle(
         &mut self,
         now: Duration,
@@ -171,7 +171,7 @@
         Ok(PhaseChange::Entered(self.phase()))
     }
 
-    /// The state that a drain leads to; `None` where the process drains already.
+    /// The state after the start of a drain; `None` if the process is draining already.
     fn after_drain(&self, now: Duration) -> Result<Option<State>, LifecycleError> {
         match self.state {
             State::Serving => Ok(Some(State::Draining {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// The state that the end of a drain leads to.
+    /// The state after the end of a drain.
     fn after_undrain(&self) -> Result<State, LifecycleError> {
         match self.state {
             State::Serving | State::Draining { .. } | State::Drained => Ok(State::Serving),
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The state that a stop leads to; `None` where the process stops already.
+    /// The state after a stop; `None` if the process is stopping already.
     fn after_stop(&self, now: Duration, mode: ShutdownMode) -> Option<State> {
         match self.state {
             State::Serving | State::Draining { .. } | State::Drained => Some(State::Stopping {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// The state that the present one ends in, where its deadline has passed.
+    /// The state after the deadline of the current one; `None` if that has not passed.
     fn after_tick(&self, now: Duration) -> Option<State> {
         match self.state {
             State::Draining { until } if now >= until => Some(State::Drained),
--- a/crates/admin/src/lifecycle/tests.rs
+++ b/crates/admin/src/lifecycle/tests.rs
@@ -1,4 +1,4 @@
-//! The phases of a drain and of a stop, and when they follow each other.
+//! The phases of a drain and of a stop, and the times of the transitions between them.
 
 use std::time::Duration;
 
@@ -7,30 +7,30 @@
 
 const MILLIS: fn(u64) -> Duration = Duration::from_millis;
 
-/// A process that serves, with 3 s as its longest request deadline.
+/// A process that is serving, with a longest request deadline of 3 s.
 fn serving() -> Lifecycle {
     Lifecycle::new(ShutdownDeadlines::new(MILLIS(3_000)))
 }
 
-/// Passes an input that has to be accepted.
-fn accepts(lifecycle: &mut Lifecycle, now_ms: u64, input: LifecycleInput) -> PhaseChange {
+/// Handles an input that must be accepted.
+fn accept(lifecycle: &mut Lifecycle, now_ms: u64, input: LifecycleInput) -> PhaseChange {
     lifecycle.handle(MILLIS(now_ms), input).unwrap()
 }
 
 #[test]
 fn a_drain_fails_health_checks_first_and_closes_connections_later() {
     let mut lifecycle = serving();
-    accepts(&mut lifecycle, 100, LifecycleInput::Drain);
+    accept(&mut lifecycle, 100, LifecycleInput::Drain);
     let phase = lifecycle.phase();
     assert!(!phase.reports_healthy() && !phase.closes_after_response());
     assert_eq!(
-        accepts(&mut lifecycle, 599, LifecycleInput::Tick),
+        accept(&mut lifecycle, 599, LifecycleInput::Tick),
         PhaseChange::Unchanged
     );
-    // A second drain does not begin anew.
-    accepts(&mut lifecycle, 550, LifecycleInput::Drain);
+    // A second drain does not restart the notice period.
+    accept(&mut lifecycle, 550, LifecycleInput::Drain);
     assert_eq!(
-        accepts(&mut lifecycle, 600, LifecycleInput::Tick),
+        accept(&mut lifecycle, 600, LifecycleInput::Tick),
         PhaseChange::Entered(LifecyclePhase::Drained)
     );
     assert_eq!(
@@ -38,7 +38,7 @@
         (LifecyclePhase::Drained, None)
     );
     assert!(lifecycle.phase().closes_after_response());
-    accepts(&mut lifecycle, 900, LifecycleInput::Drain);
+    accept(&mut lifecycle, 900, LifecycleInput::Drain);
     assert_eq!(lifecycle.phase(), LifecyclePhase::Drained);
 }
 
@@ -47,16 +47,16 @@
     for phases in 0..3 {
         let mut lifecycle = serving();
         if phases > 0 {
-            accepts(&mut lifecycle, 0, LifecycleInput::Drain);
+            accept(&mut lifecycle, 0, LifecycleInput::Drain);
         }
         if phases > 1 {
-            accepts(&mut lifecycle, 500, LifecycleInput::Tick);
+            accept(&mut lifecycle, 500, LifecycleInput::Tick);
         }
-        accepts(&mut lifecycle, 500, LifecycleInput::Undrain);
+        accept(&mut lifecycle, 500, LifecycleInput::Undrain);
         assert_eq!(lifecycle.phase(), LifecyclePhase::Serving);
         // The deadline of the drain does not fire afterwards.
         assert_eq!(
-            accepts(&mut lifecycle, 10_000, LifecycleInput::Tick),
+            accept(&mut lifecycle, 10_000, LifecycleInput::Tick),
             PhaseChange::Unchanged
         );
     }
@@ -69,8 +69,8 @@
         (ShutdownMode::Replaced, 2_700),
     ] {
         let mut lifecycle = serving();
-        accepts(&mut lifecycle, 0, LifecycleInput::Drain);
-        accepts(&mut lifecycle, 100, LifecycleInput::Stop(mode));
+        accept(&mut lifecycle, 0, LifecycleInput::Drain);
+        accept(&mut lifecycle, 100, LifecycleInput::Stop(mode));
         assert!(lifecycle.phase().is_stopping() && lifecycle.phase().reports_healthy());
         assert_eq!(
             lifecycle.handle(MILLIS(200), LifecycleInput::Undrain),
@@ -81,13 +81,13 @@
             Err(LifecycleError::DrainWhileStopping)
         );
         let again = LifecycleInput::Stop(ShutdownMode::Standalone);
-        accepts(&mut lifecycle, 300, again);
+        accept(&mut lifecycle, 300, again);
         assert_eq!(
-            accepts(&mut lifecycle, 99 + keep_alive_ms, LifecycleInput::Tick),
+            accept(&mut lifecycle, 99 + keep_alive_ms, LifecycleInput::Tick),
             PhaseChange::Unchanged
         );
         assert_eq!(
-            accepts(&mut lifecycle, 100 + keep_alive_ms, LifecycleInput::Tick),
+            accept(&mut lifecycle, 100 + keep_alive_ms, LifecycleInput::Tick),
             PhaseChange::Entered(LifecyclePhase::Closing)
         );
         assert_eq!(lifecycle.phase(), LifecyclePhase::Closing);
--- a/crates/admin/src/maintenance.rs
+++ b/crates/admin/src/maintenance.rs
@@ -1,30 +1,30 @@
 //! The endpoints that operators have put into maintenance.
 //!
-//! An id stays in the set until an operator returns it to service, whatever the endpoint list says of it: an endpoint
-//! that leaves the list and comes back is still in maintenance. The set is bounded, and a rejected command changes
-//! nothing.
+//! An id stays in the set until an operator returns the endpoint to service, independently of the endpoint list: an endpoint
+//! that is removed from the list and added again is still in maintenance. The size of the set is limited, and a rejected
+//! command changes nothing.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of ids in maintenance. Bounds the memory for ids that leave the endpoint list and are never enabled again;
-/// well above the number of endpoints of the largest planned fleet.
+/// Maximum number of ids in maintenance, well above the number of endpoints in the largest planned fleet. Limits the memory
+/// for ids that are removed from the endpoint list and never enabled again.
 pub const MAX_IDS_IN_MAINTENANCE: usize = 4096;
 
-/// Why a change of an endpoint's maintenance is rejected.
+/// Why a change of the set is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MaintenanceError {
-    /// The id is neither listed nor in maintenance.
+    /// The id is neither in the endpoint list nor in maintenance.
     #[error("no endpoint has the id")]
     UnknownEndpoint,
-    /// The endpoint is listed, but [`MAX_IDS_IN_MAINTENANCE`] ids are in maintenance already.
+    /// The id is in the endpoint list, but [`MAX_IDS_IN_MAINTENANCE`] ids are in maintenance already.
     #[error("{MAX_IDS_IN_MAINTENANCE} ids are in maintenance")]
     Full,
 }
 
-/// Ids of the endpoints in maintenance. Serialized as a plain sequence of ids, in order.
+/// The ids of the endpoints in maintenance. Serialized as a sorted sequence of ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MaintenanceSet {
@@ -32,12 +32,12 @@
 }
 
 impl MaintenanceSet {
-    /// Puts an endpoint into maintenance; `is_listed`: the endpoint list has the id. True if the set changed. Changes are
-    /// not counted: one `enable` undoes any number of `disable`.
+    /// Puts an endpoint into maintenance, and returns whether the set changed. `is_listed` is true if the endpoint list
+    /// contains the id. Calls are not counted: a single `enable` reverts any number of `disable`.
     ///
     /// # Errors
     ///
-    /// The id is neither listed nor in maintenance, or the set is full.
+    /// The id is neither in the endpoint list nor in maintenance, or the set is full.
     pub fn disable(&mut self, id: &str, is_listed: bool) -> Result<bool, MaintenanceError> {
         if self.ids.contains(id) {
             return Ok(false);
@@ -51,11 +51,12 @@
         Ok(self.ids.insert(id.into()))
     }
 
-    /// Returns an endpoint to service; `is_listed`: the endpoint list has the id. True if the set changed.
+    /// Returns an endpoint to service, and returns whether the set changed. `is_listed` is true if the endpoint list
+    /// contains the id.
     ///
     /// # Errors
     ///
-    /// The id is neither listed nor in maintenance.
+    /// The id is neither in the endpoint list nor in maintenance.
     pub fn enable(&mut self, id: &str, is_listed: bool) -> Result<bool, MaintenanceError> {
         let was_in_maintenance = self.ids.remove(id);
         if !was_in_maintenance && !is_listed {
@@ -64,12 +65,12 @@
         Ok(was_in_maintenance)
     }
 
-    /// True while the endpoint is in maintenance.
+    /// True if the endpoint is in maintenance.
     pub fn contains(&self, id: &str) -> bool {
         self.ids.contains(id)
     }
 
-    /// The ids in maintenance, in order.
+    /// The ids in maintenance, sorted.
     pub fn ids(&self) -> impl Iterator<Item = &Arc<str>> {
         self.ids.iter()
     }
--- a/crates/admin/src/maintenance/tests.rs
+++ b/crates/admin/src/maintenance/tests.rs
@@ -1,4 +1,4 @@
-//! Putting endpoints into maintenance and returning them to service.
+//! Endpoints that are put into maintenance and returned to service.
 
 use proptest::prelude::*;
 
@@ -9,7 +9,7 @@
     let mut set = MaintenanceSet::default();
     assert_eq!(set.disable("a", true), Ok(true));
     assert_eq!(set.disable("a", true), Ok(false));
-    // It left the list meanwhile.
+    // The endpoint was removed from the list.
     assert_eq!(set.disable("a", false), Ok(false));
     assert_eq!(set.enable("a", false), Ok(true));
     assert_eq!(
@@ -42,7 +42,7 @@
 }
 
 proptest! {
-    /// Compared with a model: one flag for each id, set by the last command about an id that was known.
+    /// The set is compared with a model: one flag for each id, set by the last accepted command for that id.
     #[test]
     fn the_last_command_about_a_known_id_is_in_force(
         commands in proptest::collection::vec((0..4u8, any::<bool>(), any::<bool>()), 0..60)
--- a/crates/admin/src/state_file.rs
+++ b/crates/admin/src/state_file.rs
@@ -1,14 +1,14 @@
-//! The state file: the maintenance set, for a process that starts without an old process to receive it from.
+//! The state file, from which a process reads the maintenance set if it starts without a hot restart.
 //!
-//! A JSON object with a version number and the ids. Unknown keys are ignored, and older versions are accepted. Newer
-//! versions are rejected, since a newer program may have changed the meaning of the keys. The names of the keys are part
-//! of the format on disk.
+//! The file is a JSON object with a version number and the ids. Unknown keys are ignored, and older versions are accepted.
+//! Newer versions are rejected, since a newer program may have changed the meaning of the keys. The names of the keys are
+//! part of the format on disk.
 
 use serde::{Deserialize, Serialize};
 
 use crate::MaintenanceSet;
 
-/// The version that is written, and the newest that is accepted.
+/// The version that is written, and the newest one that is accepted.
 const VERSION: u32 = 1;
 
 #[derive(Serialize, Deserialize)]
@@ -19,42 +19,42 @@
     in_maintenance: MaintenanceSet,
 }
 
-/// Why a state file is rejected. The log has the file's path beside this text.
+/// Why a state file is rejected. The file's path is logged together with this text.
 #[derive(Debug, thiserror::Error)]
 pub enum StateFileError {
-    /// The text is not JSON, as after an interrupted write, or a value has the wrong type.
-    #[error("the state file is truncated or of another program: {0}")]
+    /// The text is not JSON, for example after an interrupted write, or a value is missing or has the wrong type.
+    #[error("state file is truncated or malformed: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The version is missing, so that the JSON is of another program.
-    #[error("the state file is of another program: it has no 'applewall_state'")]
-    Foreign,
+    /// The JSON has no version, so that it was not written by this program.
+    #[error("file was not written by this program: 'applewall_state' is missing")]
+    MissingVersion,
     /// A newer version of this program wrote the file.
-    #[error("the state file has version {0}; the newest that this program reads is {VERSION}")]
+    #[error("state file has version {0}, this program reads versions up to {VERSION}")]
     NewerVersion(u64),
 }
 
-/// The content of the file.
+/// Encodes the maintenance set as the content of the file.
 pub fn encode(set: &MaintenanceSet) -> String {
     let file = StateFile {
         version: VERSION,
         in_maintenance: set.clone(),
     };
-    // Serialization of strings and a number does not fail.
+    // Strings and a number can always be serialized.
     serde_json::to_string(&file).unwrap_or_default()
 }
 
-/// Parses the content of the file.
+/// Decodes the content of the file.
 ///
 /// # Errors
 ///
-/// The content is truncated, of another program or of a newer version.
+/// The content is truncated, from another program or from a newer version.
 pub fn decode(text: &str) -> Result<MaintenanceSet, StateFileError> {
     let value: serde_json::Value = serde_json::from_str(text)?;
-    // The version is checked first: the other keys of a newer version may have any type.
+    // The version is checked first, because the other keys of a newer version may have other types.
     let version = value
         .get("applewall_state")
         .and_then(serde_json::Value::as_u64)
-        .ok_or(StateFileError::Foreign)?;
+        .ok_or(StateFileError::MissingVersion)?;
     if version > u64::from(VERSION) {
         return Err(StateFileError::NewerVersion(version));
     }
--- a/crates/admin/src/state_file/tests.rs
+++ b/crates/admin/src/state_file/tests.rs
@@ -1,4 +1,4 @@
-//! Writing the state file, and reading intact and damaged ones.
+//! Encoding of the state file, and decoding of intact, damaged and newer ones.
 
 use super::{decode, encode};
 use crate::MaintenanceSet;
@@ -17,8 +17,8 @@
         assert!(fails_with(&text[..length], "truncated"), "{length} bytes");
     }
     let damaged = [
-        ("{}", "it has no 'applewall_state'"),
-        ("[1]", "it has no 'applewall_state'"),
+        ("{}", "'applewall_state' is missing"),
+        ("[1]", "'applewall_state' is missing"),
         (r#"{"applewall_state":2,"withheld":7}"#, "version 2"),
         (r#"{"applewall_state":1}"#, "truncated"),
         (r#"{"applewall_state":1,"withheld":[7]}"#, "truncated"),
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -45,24 +45,27 @@
     let wrong = [
         (
             &complete[..complete.len() - 1],
-            "the state file is truncated or of another program: EOF while parsing an object at line 1 column 52",
+            "state file is truncated or malformed: EOF while parsing an object at line 1 column 52",
         ),
         (
             "",
-            "the state file is truncated or of another program: EOF while parsing a value at line 1 column 0",
+            "state file is truncated or malformed: EOF while parsing a value at line 1 column 0",
+        ),
+        (
+            r#"{"withheld":[]}"#,
+            "file was not written by this program: 'applewall_state' is missing",
         ),
-        (r#"{"withheld":[]}"#, "the state file is of another program: it has no 'applewall_state'"),
         (
             r#"{"applewall_state":2,"withheld":[]}"#,
-            "the state file has version 2; the newest that this program reads is 1",
+            "state file has version 2, this program reads versions up to 1",
         ),
         (
             r#"{"applewall_state":1}"#,
-            "the state file is truncated or of another program: missing field `withheld`",
+            "state file is truncated or malformed: missing field `withheld`",
         ),
         (
             r#"{"applewall_state":1,"withheld":7}"#,
-            "the state file is truncated or of another program: invalid type: integer `7`, expected a sequence",
+            "state file is truncated or malformed: invalid type: integer `7`, expected a sequence",
         ),
     ];
     wrong.iter().for_each(|(text, why)| {
