--- a/crates/consul/src/blocking_query.rs
+++ b/crates/consul/src/blocking_query.rs
@@ -1,12 +1,14 @@
-//! State machine of blocking queries, without I/O and without a clock: the next query, and what an answer means.
+//! State machine of blocking queries, without I/O and without a clock. It determines the next query and how each response
+//! is used.
 //!
-//! By Consul's published rules for clients of blocking queries:
-//! - an index that is below the last one resets the next query's index to 0, and a missing index counts as 0;
-//! - each wait is longer by a random sixteenth at most, so that the waits of a fleet do not end at the same moment.
+//! It follows Consul's published rules for clients of blocking queries:
+//! - if the index is below the last one, the index of the next query is reset to 0; a missing index counts as 0;
+//! - each wait time is extended by a random amount of up to a sixteenth, so that the queries of a fleet do not end at the
+//!   same time.
 //!
-//! Queries allow any agent to answer from its own store (`stale`). An answer whose index is below the last one is not
-//! used; the same query is repeated in consistent mode, since in a stale answer a store whose history started again
-//! looks like an agent that lags.
+//! Queries are in `stale` mode, which allows any server to respond from its own store. A stale response whose index is below
+//! the last one is dropped, and the query is repeated in `consistent` mode: a stale response does not show whether the
+//! history of the store was reset or the server lags.
 
 use std::time::Duration;
 
@@ -14,13 +16,13 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// The random extension of a wait is at most the wait divided by this, as in Consul's own agents.
+/// The random extension of a wait time is at most the wait time divided by this, as in Consul's own agents.
 const WAIT_JITTER_DIVISOR: u64 = 16;
 
-/// Waits and delays of the queries.
+/// Wait times and delays of the queries.
 #[derive(Clone, Copy, Debug)]
 pub struct QueryTiming {
-    /// The wait of a blocking query, in milliseconds (the unit of its parameter), without jitter.
+    /// The wait time of a blocking query without jitter, in milliseconds, the unit of the query parameter.
     pub wait_ms: u64,
     /// Upper bounds of the random delay after a failure.
     pub backoff: Backoff,
@@ -29,32 +31,32 @@
 /// A query for all keys with the prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BlockingQuery {
-    /// The agent waits for a change after this index; none: it answers at once.
+    /// The agent waits for a change after this index; if it is `None`, the agent responds immediately.
     pub index: Option<u64>,
-    /// How long the agent may wait, in milliseconds, with jitter.
+    /// How long the agent may wait for a change, in milliseconds, with jitter.
     pub wait_ms: u64,
-    /// Which agents may answer: any of them from its own store, or only after the leader confirmed the answer.
+    /// Whether any server may respond from its own store, or the leader has to confirm the response.
     pub consistency: ReadConsistency,
 }
 
-/// What came of a query.
+/// The result of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryInput {
     /// A list was received.
     List {
-        /// The index of the list; 0 where the answer had none.
+        /// The index of the list; 0 if the response had none.
         index: u64,
-        /// Whether the agent knows a leader. If not, its list may be of any age.
+        /// Whether there is a known leader. If not, the list may be of any age.
         leader_known: bool,
     },
-    /// No answer was received, or one that cannot be used.
+    /// No response was received, or it was not a list.
     Failed,
 }
 
-/// What to do with the list of an answer, and when the next query follows.
+/// How to use the list of a response, and when to send the next query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueryOutput {
-    /// The consistency that the list is to be applied with; none: the list is dropped, or there is none.
+    /// The consistency with which the list is reported; `None` if there is no list or it is dropped.
     pub apply_list: Option<ReadConsistency>,
     /// The delay before the next query.
     pub next_query_after: Duration,
@@ -76,13 +78,13 @@
     }
 }
 
-/// The blocking queries to one store.
+/// The state machine of the blocking queries to one store; see the module documentation.
 #[derive(Debug)]
 pub struct BlockingQueryMachine {
     timing: QueryTiming,
-    /// Failures since the last answer with a list.
+    /// Number of failures since the last list that was received.
     failures: u32,
-    /// Index of the last list that was applied; 0 for none.
+    /// Index of the last list that was used; 0 if there is none.
     index: u64,
     /// The consistency of the next query.
     consistency: ReadConsistency,
@@ -90,7 +92,8 @@
 }
 
 impl BlockingQueryMachine {
-    /// Begins with a consistent query that is answered at once. `seed` draws the jitters.
+    /// Starts with a consistent query without an index, to which the agent responds immediately. `seed` determines the random
+    /// delays.
     pub fn new(timing: QueryTiming, seed: u64) -> Self {
         BlockingQueryMachine {
             timing,
@@ -101,7 +104,7 @@
         }
     }
 
-    /// The next query.
+    /// Returns the next query.
     pub fn next_query(&mut self) -> BlockingQuery {
         let wait_ms = self.timing.wait_ms;
         let jitter_ms = self.rng.random_range(0..=wait_ms / WAIT_JITTER_DIVISOR);
@@ -112,21 +115,21 @@
         }
     }
 
-    /// Takes what came of the last query; returns what follows from it. The time is not needed: all times here are delays
-    /// from the answer on.
+    /// Handles the result of the last query; returns how to continue. The current time is not needed, because all delays count
+    /// from the result.
     pub fn handle(&mut self, input: QueryInput) -> QueryOutput {
         match input {
             QueryInput::Failed => self.back_off(),
             QueryInput::List {
                 index,
                 leader_known,
-            } => self.list_received(index, leader_known),
+            } => self.handle_list(index, leader_known),
         }
     }
 
-    fn list_received(&mut self, index: u64, leader_known: bool) -> QueryOutput {
+    fn handle_list(&mut self, index: u64, leader_known: bool) -> QueryOutput {
         let consistency = self.consistency;
-        // An agent without a leader may have a list of any age. A consistent answer was confirmed by a leader in any case.
+        // Without a leader, a stale list may be of any age. A consistent list was confirmed by a leader in any case.
         if !leader_known && consistency == ReadConsistency::Stale {
             return self.back_off();
         }
@@ -141,7 +144,7 @@
         QueryOutput::apply(consistency)
     }
 
-    /// The index does not change: the answer to the next query has what changed meanwhile.
+    /// Delays the next query. The index is kept, so that the next response includes the changes in the meantime.
     fn back_off(&mut self) -> QueryOutput {
         let bound = self.timing.backoff.delay(self.failures);
         self.failures = self.failures.saturating_add(1);
--- a/crates/consul/src/blocking_query/tests.rs
+++ b/crates/consul/src/blocking_query/tests.rs
@@ -1,4 +1,4 @@
-//! Indexes that advance and go back, failures and jitter.
+//! An index that advances or goes back, failures, and the jitter of wait times.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -51,7 +51,7 @@
     assert_eq!(next_index_and_consistency(&mut machine), (Some(40), stale));
     assert_eq!(machine.handle(list(30)), DROPPED);
     assert_eq!(next_index_and_consistency(&mut machine), (None, consistent));
-    // The agent lagged, or the store's history started again: the consistent answer is right in both cases.
+    // The server lagged or the history was reset: the consistent response is correct in both cases.
     assert_eq!(machine.handle(list(3)), APPLIED_CONSISTENT);
     assert_eq!(machine.next_query().index, Some(3));
 }
--- a/crates/consul/src/client.rs
+++ b/crates/consul/src/client.rs
@@ -1,4 +1,4 @@
-//! One connection to an agent, over HTTP/1.1.
+//! HTTP/1.1 client for an agent.
 
 use std::net::SocketAddr;
 
@@ -16,14 +16,14 @@
 use crate::blocking_query::BlockingQuery;
 use crate::settings::Settings;
 
-/// Maximum size of an answer, which is the full list: tens of thousands of members.
+/// Maximum size of a response, which is the full list: enough for tens of thousands of members.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// Request header with the token.
 const TOKEN_HEADER: &str = "x-consul-token";
 /// Response header with the index of the list.
 const INDEX_HEADER: &str = "x-consul-index";
-/// Response header with whether the agent knows a leader.
+/// Response header that is `true` if there is a known leader.
 const LEADER_HEADER: &str = "x-consul-knownleader";
 
 /// Why a query failed, for the log.
@@ -36,46 +36,47 @@
     },
     #[error("cannot connect: {0}")]
     Connect(std::io::Error),
-    /// The token has a byte that a header cannot have. The text must not quote it: it is a secret.
-    #[error("query cannot be written: token in token_file is not a header value")]
-    Request,
+    /// The token has a byte that is not valid in a header. The text must not quote the token, which is a secret.
+    #[error("token in token_file is not a valid header value")]
+    InvalidToken,
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    #[error("answer's body cannot be read: {0}")]
+    #[error("response body cannot be read: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    #[error("answer is not a list of keys: {0}")]
+    #[error("response is not a list of keys: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("status {0}")]
+    #[error("response has status {0}")]
     Status(StatusCode),
-    #[error("no answer in time")]
+    #[error("no response within the timeout")]
     TimedOut,
 }
 
-/// One key of an answer.
+/// One key of a response.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct KeyValue {
     pub(crate) key: String,
-    /// The value in base64; null where it is empty.
+    /// The value in base64; null if it is empty.
     pub(crate) value: Option<String>,
     pub(crate) create_index: u64,
     pub(crate) modify_index: u64,
 }
 
-/// The answer to a query.
-pub(crate) struct ListAnswer {
-    /// The index of the list; 0 where the answer had none.
+/// The response to a query.
+pub(crate) struct ListResponse {
+    /// The index of the list; 0 if the response had none.
     pub(crate) index: u64,
+    /// Whether there is a known leader.
     pub(crate) leader_known: bool,
     /// All keys with the prefix.
     pub(crate) entries: Vec<KeyValue>,
 }
 
-/// A connection to an agent, with the token that each query on it carries. Dropping it closes the connection.
+/// A connection to an agent, with the token that is sent with each query. Closed when this is dropped.
 pub(crate) struct AgentConnection {
     agent: SocketAddr,
     sender: http1::SendRequest<Empty<Bytes>>,
-    /// Reads and writes the connection; aborted when this is dropped.
+    /// The task that reads and writes the connection; aborted when this is dropped.
     driver: JoinHandle<()>,
     token: Option<String>,
 }
@@ -87,17 +88,18 @@
 }
 
 impl AgentConnection {
-    /// Connects. The token's file is read at each connection, so that the token can be replaced while the program runs.
+    /// Connects to the agent. The token is read from its file for each connection, so that it can be replaced while the
+    /// process is running.
     pub(crate) async fn open(agent: SocketAddr, settings: &Settings) -> Result<Self, QueryError> {
         let token = settings.token_file.as_deref().map(read_token).transpose()?;
         let stream = TcpStream::connect(agent)
             .await
             .map_err(QueryError::Connect)?;
-        // Without it a query may be sent some ms later, and works otherwise.
+        // If this fails, queries may be sent a few milliseconds later, but work otherwise.
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let driver = tokio::spawn(async move {
-            // The query in flight fails with the connection's error.
+            // An error of the connection is reported by the query in flight.
             let _ = connection.await;
         });
         Ok(AgentConnection {
@@ -108,19 +110,19 @@
         })
     }
 
-    /// Sends a query for all keys with the prefix and reads the answer to its end.
+    /// Sends a query for all keys with the prefix, and reads the whole response.
     pub(crate) async fn query(
         &mut self,
         prefix: &str,
         query: &BlockingQuery,
-    ) -> Result<ListAnswer, QueryError> {
+    ) -> Result<ListResponse, QueryError> {
         let mut request = Request::get(path(prefix, query)).header(HOST, self.agent.to_string());
         if let Some(token) = &self.token {
             request = request.header(TOKEN_HEADER, token);
         }
         let request = request
             .body(Empty::new())
-            .map_err(|_| QueryError::Request)?;
+            .map_err(|_| QueryError::InvalidToken)?;
         self.sender.ready().await?;
         let response = self.sender.send_request(request).await?;
         let (status, headers) = (response.status(), response.headers().clone());
@@ -132,11 +134,11 @@
         let index = index(&headers);
         let entries = match status {
             StatusCode::OK => serde_json::from_slice(&body)?,
-            // How Consul answers where no key has the prefix.
+            // Consul's response if no key has the prefix.
             StatusCode::NOT_FOUND if index > 0 => Vec::new(),
             status => return Err(QueryError::Status(status)),
         };
-        Ok(ListAnswer {
+        Ok(ListResponse {
             index,
             leader_known: leader_known(&headers),
             entries,
@@ -152,7 +154,7 @@
     Ok(token.trim().to_string())
 }
 
-/// Path and parameters of a query.
+/// The path of a query with its parameters.
 fn path(prefix: &str, query: &BlockingQuery) -> String {
     let consistency = match query.consistency {
         ReadConsistency::Stale => "stale",
@@ -165,14 +167,14 @@
     format!("/v1/kv/{prefix}?recurse=true&{consistency}{wait}")
 }
 
-/// The index of an answer; 0, as for none, where the header is missing or not a number.
+/// The index of a response; 0 if the header is missing or not a number.
 fn index(headers: &HeaderMap) -> u64 {
     let value = headers.get(INDEX_HEADER);
     let text = value.and_then(|value| value.to_str().ok());
     text.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-/// Whether the agent knows a leader. One that does not send the header is taken to.
+/// Whether there is a known leader. If the header is missing, a leader is assumed.
 fn leader_known(headers: &HeaderMap) -> bool {
     let value = headers.get(LEADER_HEADER);
     value.is_none_or(|value| value.as_bytes() == b"true")
--- a/crates/consul/src/watcher.rs
+++ b/crates/consul/src/watcher.rs
@@ -1,4 +1,4 @@
-//! Makes the blocking queries that the state machine decides on, and passes on the lists of their answers.
+//! Sends the blocking queries of the state machine, and reports the lists of the responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,21 +11,22 @@
 use base64::Engine;
 
 use crate::blocking_query::{BlockingQuery, BlockingQueryMachine, QueryInput, QueryTiming};
-use crate::client::{AgentConnection, KeyValue, ListAnswer, QueryError};
+use crate::client::{AgentConnection, KeyValue, ListResponse, QueryError};
 use crate::settings::Settings;
 
-/// The cluster id of a store's positions. Stores have none; one whose history started again shows in an index that goes
-/// back.
+/// The cluster id in the positions of a store. Stores have no cluster id; a reset of the history is detected by an index that
+/// goes back.
 const CLUSTER: ClusterId = ClusterId(0);
 
 /// Upper bound of the delay after the first failure: a few round trips to an agent on the same machine.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Watches the store for as long as the future is polled; each newer list goes to `on_report`. `seed` draws the jitters.
+/// Watches the store until the future is dropped. Each list that is not dropped is passed to `on_report`. `seed` determines
+/// the random delays.
 ///
 /// # Cancel safety
 ///
-/// Dropping the future drops the connection; a list is passed on completely or not at all.
+/// Dropping the future closes the connection. A list is passed on completely or not at all.
 pub async fn watch(settings: &Settings, seed: u64, mut on_report: impl FnMut(SourceInput)) {
     let Some(agent) = settings.agent else {
         return std::future::pending().await;
@@ -47,44 +48,44 @@
     };
     loop {
         let query = machine.next_query();
-        let answer = watcher.query(&query).await;
-        let output = machine.handle(input(answer.as_ref()));
-        if let (Some(consistency), Some(answer)) = (output.apply_list, answer) {
-            on_report(watcher.report(consistency, answer));
+        let response = watcher.query(&query).await;
+        let output = machine.handle(input(response.as_ref()));
+        if let (Some(consistency), Some(response)) = (output.apply_list, response) {
+            on_report(watcher.report(consistency, response));
         }
         tokio::time::sleep(output.next_query_after).await;
     }
 }
 
-fn input(answer: Option<&ListAnswer>) -> QueryInput {
-    answer.map_or(QueryInput::Failed, |answer| QueryInput::List {
-        index: answer.index,
-        leader_known: answer.leader_known,
+fn input(response: Option<&ListResponse>) -> QueryInput {
+    response.map_or(QueryInput::Failed, |response| QueryInput::List {
+        index: response.index,
+        leader_known: response.leader_known,
     })
 }
 
 struct Watcher<'settings> {
     settings: &'settings Settings,
     agent: SocketAddr,
-    /// The connection of the last query, if its answer was read to its end.
+    /// The connection of the last query, if its whole response was read.
     connection: Option<AgentConnection>,
-    /// Rejected members that were logged.
+    /// Limits the logging of rejected members.
     rejections: Rejections,
-    /// Whether the present loss was logged; false while queries are answered.
+    /// Whether the current loss of the watch was logged; false while queries succeed.
     loss_logged: bool,
 }
 
 impl Watcher<'_> {
-    /// Makes a query; none where it failed.
-    async fn query(&mut self, query: &BlockingQuery) -> Option<ListAnswer> {
+    /// Sends a query; returns `None` if it failed.
+    async fn query(&mut self, query: &BlockingQuery) -> Option<ListResponse> {
         let patience = self.settings.patience.0;
         let timeout = match query.index {
             None => patience,
             Some(_) => Duration::from_millis(query.wait_ms) + patience,
         };
-        let answer = tokio::time::timeout(timeout, self.try_query(query)).await;
-        match answer.unwrap_or(Err(QueryError::TimedOut)) {
-            Ok(answer) => Some(answer),
+        let response = tokio::time::timeout(timeout, self.try_query(query)).await;
+        match response.unwrap_or(Err(QueryError::TimedOut)) {
+            Ok(response) => Some(response),
             Err(error) => {
                 self.log_loss(&error);
                 None
@@ -92,40 +93,40 @@
         }
     }
 
-    /// Logs a loss once, however many attempts it takes to reconnect.
+    /// Logs a loss of the watch once, independently of the number of reconnect attempts.
     fn log_loss(&mut self, error: &QueryError) {
         if !std::mem::replace(&mut self.loss_logged, true) {
             tracing::warn!(agent = %self.agent, %error, "consul watch lost");
         }
     }
 
-    async fn try_query(&mut self, query: &BlockingQuery) -> Result<ListAnswer, QueryError> {
-        // Taken out for the query: a connection whose answer was not read to its end cannot be used again.
+    async fn try_query(&mut self, query: &BlockingQuery) -> Result<ListResponse, QueryError> {
+        // The connection is put back after the query: it cannot be reused unless the whole response was read.
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => AgentConnection::open(self.agent, self.settings).await?,
         };
-        let answer = connection.query(&self.settings.prefix, query).await?;
+        let response = connection.query(&self.settings.prefix, query).await?;
         self.connection = Some(connection);
-        Ok(answer)
+        Ok(response)
     }
 
-    fn report(&mut self, consistency: ReadConsistency, answer: ListAnswer) -> SourceInput {
+    fn report(&mut self, consistency: ReadConsistency, response: ListResponse) -> SourceInput {
         if std::mem::take(&mut self.loss_logged) {
             tracing::info!(agent = %self.agent, "consul watch recovered");
         }
-        let entries = answer.entries.into_iter();
+        let entries = response.entries.into_iter();
         SourceInput::FullList(FullList {
             position: Position {
                 cluster: CLUSTER,
-                revision: answer.index,
+                revision: response.index,
             },
             consistency,
             updates: entries.filter_map(|entry| self.update(entry)).collect(),
         })
     }
 
-    /// The update of the member whose key it is; none where the key is not a member's.
+    /// Converts a key to an update of its member; `None` if the key does not belong to a member.
     fn update(&mut self, entry: KeyValue) -> Option<MemberUpdate> {
         let id = entry.key.strip_prefix(&self.settings.prefix)?;
         if id.is_empty() {
@@ -151,7 +152,7 @@
     }
 }
 
-/// Why a key's value is not a member's record, for the log.
+/// Why the value of a key is not a valid record, for the log.
 #[derive(Debug, thiserror::Error)]
 enum ValueError {
     #[error("value is not base64: {0}")]
--- a/crates/consul/tests/watch.rs
+++ b/crates/consul/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watch of a Consul-style store, against a fake agent. Each test waits for a state of the list.
+//! The watch of a Consul-style store against a fake agent. Each test waits for a state of the list.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -13,23 +13,23 @@
 use applewall_membership::{MemberState, Source};
 use applewall_operator_config::{DurationSetting, EnabledFlag};
 
-/// How long a test waits for a state; long, so that a busy machine does not fail it.
+/// How long a test waits for a state; long enough that it does not fail on a busy machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A watch of a fake agent, with a TCP proxy before it.
+/// A watch of a fake agent through a TCP proxy.
 struct Fixture {
     agent: ConsulAgent,
-    wire: TcpProxy,
+    proxy: TcpProxy,
     source: Arc<Mutex<Source>>,
     task: tokio::task::JoinHandle<()>,
 }
 
 async fn start(wait_ms: u64) -> Fixture {
     let agent = ConsulAgent::start().await.unwrap();
-    let wire = TcpProxy::start(agent.address).await.unwrap();
+    let proxy = TcpProxy::start(agent.address).await.unwrap();
     let settings = Settings {
         enabled: EnabledFlag(true),
-        agent: Some(wire.address),
+        agent: Some(proxy.address),
         prefix: "m/".into(),
         wait: DurationSetting::from_millis(wait_ms),
         patience: DurationSetting::from_millis(150),
@@ -46,7 +46,7 @@
     });
     Fixture {
         agent,
-        wire,
+        proxy,
         source,
         task,
     }
@@ -62,7 +62,7 @@
             .collect()
     }
 
-    async fn until(&self, what: &str, holds: impl Fn(&BTreeMap<String, MemberState>) -> bool) {
+    async fn wait_until(&self, what: &str, holds: impl Fn(&BTreeMap<String, MemberState>) -> bool) {
         let wait = async {
             while !holds(&self.list()) {
                 tokio::time::sleep(Duration::from_millis(2)).await;
@@ -92,16 +92,16 @@
     fixture.agent.put("m/a", Some(&value("in_service")));
     fixture.agent.put("m/bad", Some("{"));
     fixture.agent.put("x/other", Some(&value("in_service")));
-    fixture.until("a", |list| list.len() == 1).await;
+    fixture.wait_until("a", |list| list.len() == 1).await;
     fixture.agent.put("m/a", Some(&value("terminating")));
     fixture
-        .until("a draining", |list| {
+        .wait_until("a draining", |list| {
             list.get("a") == Some(&MemberState::Terminating)
         })
         .await;
     fixture.agent.put("m/a", None);
     fixture.agent.put("m/bad", None);
-    fixture.until("no members", BTreeMap::is_empty).await;
+    fixture.wait_until("no members", BTreeMap::is_empty).await;
     assert!(
         fixture.agent.reads.load(Ordering::Relaxed) <= 8,
         "more than one read for each change: {}",
@@ -113,36 +113,40 @@
 async fn list_survives_breaks_silence_lagging_agents_and_a_restarted_history() {
     let fixture = start(100).await;
     fixture.agent.put("m/a", Some(&value("in_service")));
-    fixture.until("a", |list| list.len() == 1).await;
-    fixture.wire.disconnect();
+    fixture.wait_until("a", |list| list.len() == 1).await;
+    fixture.proxy.disconnect();
     fixture.agent.put("m/b", Some(&value("in_service")));
     fixture
-        .until("b after a break", |list| list.len() == 2)
+        .wait_until("b after a break", |list| list.len() == 2)
         .await;
-    fixture.wire.set_silent(true);
-    let accepted = fixture.wire.connections.accepted();
+    fixture.proxy.set_silent(true);
+    let accepted = fixture.proxy.connections.accepted();
     fixture.agent.put("m/c", Some(&value("in_service")));
-    let reconnected = || fixture.wire.connections.accepted() > accepted;
-    fixture.until("another connection", |_| reconnected()).await;
-    fixture.wire.set_silent(false);
+    let reconnected = || fixture.proxy.connections.accepted() > accepted;
     fixture
-        .until("c after silence", |list| list.len() == 3)
+        .wait_until("another connection", |_| reconnected())
         .await;
-    // A lagging agent's answer is settled by a consistent query.
+    fixture.proxy.set_silent(false);
+    fixture
+        .wait_until("c after silence", |list| list.len() == 3)
+        .await;
+    // A consistent query resolves the response of a lagging agent.
     fixture.agent.set_lagging(true);
     fixture.agent.put("m/a", None);
     fixture.agent.set_lagging(false);
-    fixture.until("without a", |list| list.len() == 2).await;
+    fixture
+        .wait_until("without a", |list| list.len() == 2)
+        .await;
     fixture.agent.set_leader_known(false);
     fixture.agent.put("m/d", Some(&value("in_service")));
     fixture.agent.set_leader_known(true);
     fixture
-        .until("d once there is a leader", |list| list.len() == 3)
+        .wait_until("d once there is a leader", |list| list.len() == 3)
         .await;
     fixture.agent.reset();
     fixture.agent.put("m/z", Some(&value("in_service")));
     fixture
-        .until("only what there is now", |list| {
+        .wait_until("only what there is now", |list| {
             list.len() == 1 && list.contains_key("z")
         })
         .await;
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -1,4 +1,4 @@
-//! The calls to one member of the registry, over gRPC.
+//! gRPC client for one member of the registry's cluster.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -15,34 +15,34 @@
 use tonic::{Request, Status, Streaming};
 use tonic_prost::ProstCodec;
 
-/// Keys of a full list in one answer; further calls at the same revision read the next ones. Bounds the registry's work for
-/// one answer, whatever the size of the fleet.
-const ENTRIES_PER_PAGE: i64 = 2_000;
+/// Maximum number of keys in one response to a full read; further calls read the next keys at the same revision. Limits the
+/// registry's work for one response, independently of the size of the fleet.
+const KEYS_PER_PAGE: i64 = 2_000;
 
-/// Maximum size of an answer. A registry accepts values of up to 1.5 MiB, and a page has many of them.
+/// Maximum size of a response. A registry accepts values of up to 1.5 MiB, and a page contains many of them.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Maximum number of requests on a watch's stream that wait for the connection: the creation and progress requests.
+/// Maximum number of requests queued on the stream of a watch: its creation and progress requests.
 const MAX_QUEUED_WATCH_REQUESTS: usize = 8;
 
-/// Name of the metadata with the token.
+/// Metadata key of the token.
 const TOKEN_METADATA: &str = "token";
 
-/// A connection to one member of the registry.
+/// A connection to one member of the registry's cluster, with the token that is sent with each call.
 #[derive(Clone)]
 pub(crate) struct RegistryClient {
     channel: Channel,
     token: Option<AsciiMetadataValue>,
 }
 
-/// The two directions of a watch.
+/// The bidirectional stream of a watch.
 pub(crate) struct Watch {
     requests: mpsc::Sender<proto::WatchRequest>,
-    /// What the registry sends; the end of this stream is the end of the watch.
+    /// The responses of the registry. The watch ends with this stream.
     pub(crate) responses: Streaming<proto::WatchResponse>,
 }
 
-/// The requests of a watch as the stream that gRPC sends.
+/// The requests of a watch, as the stream that the gRPC client sends.
 struct WatchRequests(mpsc::Receiver<proto::WatchRequest>);
 
 impl Stream for WatchRequests {
@@ -65,11 +65,11 @@
 }
 
 impl RegistryClient {
-    /// Connects.
+    /// Connects to the registry.
     ///
     /// # Errors
     ///
-    /// What the transport reports, or a token that cannot be sent.
+    /// The transport's error, or `unauthenticated` if the token is not a valid metadata value.
     pub(crate) async fn connect(
         address: SocketAddr,
         timeout: Duration,
@@ -77,8 +77,9 @@
     ) -> Result<Self, Status> {
         // The error must not quote the token: it is a secret.
         let token = token.map(|token| token.trim().parse()).transpose();
-        let mut token: Option<AsciiMetadataValue> = token
-            .map_err(|_| Status::unauthenticated("token in token_file is not a metadata value"))?;
+        let mut token: Option<AsciiMetadataValue> = token.map_err(|_| {
+            Status::unauthenticated("token in token_file is not a valid metadata value")
+        })?;
         if let Some(token) = &mut token {
             token.set_sensitive(true);
         }
@@ -114,12 +115,12 @@
         Ok(response.into_inner())
     }
 
-    /// Reads all keys with the prefix, page by page, as they were at one revision. The read is consistent: everything that
-    /// was written before it is in the list.
+    /// Reads all keys with the prefix, page by page, at a single revision. The read is consistent: the list includes
+    /// everything that was written before the read.
     ///
     /// # Errors
     ///
-    /// What the registry or the transport reports.
+    /// The error of the registry or of the transport.
     pub(crate) async fn read_prefix(&self, prefix: &[u8]) -> Result<proto::RangeResponse, Status> {
         let mut list = proto::RangeResponse::default();
         let (mut key, mut revision) = (prefix.to_vec(), 0);
@@ -127,31 +128,31 @@
             let request = proto::RangeRequest {
                 key,
                 range_end: proto::prefix_end(prefix),
-                limit: ENTRIES_PER_PAGE,
+                limit: KEYS_PER_PAGE,
                 revision,
                 serializable: false,
             };
             let page = self.range(request).await?;
             if list.header.is_none() {
-                // The later pages are read as of the first one's revision.
+                // The following pages are read at the revision of the first one.
                 revision = page.header.as_ref().map_or(0, |header| header.revision);
                 list.header = page.header;
             }
             let last_key = page.kvs.last().map(|kv| kv.key.clone());
             list.kvs.extend(page.kvs);
             match last_key.filter(|_| page.more) {
-                // The first key after the last one, in the order of bytes.
+                // The immediate successor of the last key in byte order.
                 Some(last_key) => key = [&last_key[..], &[0]].concat(),
                 None => return Ok(list),
             }
         }
     }
 
-    /// Watches all keys with the prefix, from a revision on.
+    /// Watches all keys with the prefix, starting at the revision `from`.
     ///
     /// # Errors
     ///
-    /// What the registry or the transport reports.
+    /// The error of the registry or of the transport.
     pub(crate) async fn watch_prefix(&self, prefix: &[u8], from: u64) -> Result<Watch, Status> {
         let (requests, request_stream) = mpsc::channel(MAX_QUEUED_WATCH_REQUESTS);
         let create = proto::WatchCreateRequest {
@@ -182,8 +183,8 @@
 }
 
 impl Watch {
-    /// Requests a progress notification as a proof that the watch is alive. Where the connection does not accept another
-    /// request, the proof does not arrive, and the watch is taken for silent.
+    /// Requests a progress notification to check that the watch is alive. If the queue of requests is full or closed, the
+    /// request is dropped; the notification then does not arrive, and the watch is considered dead.
     pub(crate) fn request_progress(&self) {
         let progress = proto::WatchRequest {
             request_union: Some(Union::Progress(proto::WatchProgressRequest {})),
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -1,7 +1,7 @@
 //! Membership from an etcd v3 registry.
 //!
-//! [`applewall_membership::WatchMachine`] decides which call comes next, and [`applewall_membership::Source`] what an answer
-//! changes; this crate makes the calls. There is one connection, one watch and one call at a time, and all of them end when
+//! This crate makes the calls that [`applewall_membership::WatchMachine`] decides on, and reports the responses, which
+//! [`applewall_membership::Source`] applies. It has one connection, one watch and one call at a time. All of them end when
 //! the future of [`watch`] is dropped.
 
 mod client;
--- a/crates/etcd/src/watcher.rs
+++ b/crates/etcd/src/watcher.rs
@@ -1,4 +1,4 @@
-//! Makes the calls that the watch's state machine decides on, and passes on what the registry reports.
+//! Performs the actions of the watch's state machine, and converts the registry's responses to reports.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 use crate::client::{RegistryClient, Watch};
 use crate::settings::Settings;
 
-/// Upper bound of the delay before the first reconnect: a few round trips to a registry nearby.
+/// Upper bound of the delay before the first reconnect: a few round trips to a nearby registry.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Why the watch was lost, for the log.
@@ -25,25 +25,25 @@
         path: String,
         source: std::io::Error,
     },
-    #[error("no answer in time")]
+    #[error("no response within the timeout")]
     TimedOut,
     #[error(transparent)]
     Status(#[from] Status),
-    #[error("registry ended the watch's stream")]
+    #[error("registry closed the watch stream")]
     StreamEnded,
     #[error("registry cancelled the watch: {0}")]
     Cancelled(String),
-    #[error("no progress notification in time")]
-    Silent,
+    #[error("no progress notification within the timeout")]
+    NoProgress,
 }
 
-/// Watches the registry for as long as the future is polled. Each report goes to `on_report` once and in order; where that
-/// returns a gap, the list is read again. `position`: that of the list in the snapshot of an earlier process; `seed` draws
-/// the jitters and the first endpoint.
+/// Watches the registry until the future is dropped. Each report is passed to `on_report` once and in order; if it returns
+/// [`SourceOutput::Gap`], the full list is read again. `position` is that of the restored snapshot, if there is one. `seed`
+/// determines the random delays and the first endpoint.
 ///
 /// # Cancel safety
 ///
-/// Dropping the future drops the connection; a report is passed on completely or not at all.
+/// Dropping the future closes the connection. A report is passed on completely or not at all.
 pub async fn watch(
     settings: &Settings,
     seed: u64,
@@ -74,7 +74,7 @@
     let mut outputs = watcher.machine.handle(now, WatchInput::Tick);
     loop {
         for output in std::mem::take(&mut outputs) {
-            if let Some(input) = watcher.carry_out(output).await {
+            if let Some(input) = watcher.perform(output).await {
                 outputs.extend(watcher.handle(input));
             }
         }
@@ -92,16 +92,16 @@
     address: Option<SocketAddr>,
     client: Option<RegistryClient>,
     watch: Option<Watch>,
-    /// Changes of a fragmented answer, until its last fragment.
+    /// Changes of a fragmented response, until its last fragment arrives.
     fragments: Vec<MemberUpdate>,
-    /// Rejected members that were logged.
+    /// Limits the logging of rejected members.
     rejections: Rejections,
-    /// Whether the present loss was logged; false while the watch is alive.
+    /// Whether the current loss of the watch was logged; false while the watch is alive.
     loss_logged: bool,
 }
 
 impl<F: FnMut(SourceInput) -> SourceOutput> Watcher<'_, F> {
-    /// How long the present call or pause may last.
+    /// The time left for the current call or delay.
     fn until_deadline(&self) -> Duration {
         let deadline = self.machine.next_deadline();
         deadline.saturating_duration_since(Instant::now())
@@ -111,8 +111,8 @@
         self.machine.handle(Instant::now(), input)
     }
 
-    /// Carries out an output of the state machine; returns what came of it, where that is known at once.
-    async fn carry_out(&mut self, output: WatchOutput) -> Option<WatchInput> {
+    /// Performs an action of the state machine; returns the result as an input, unless it arrives later on the watch.
+    async fn perform(&mut self, output: WatchOutput) -> Option<WatchInput> {
         let input = match output {
             WatchOutput::Connect { endpoint } => self.connect(endpoint).await.map(Some),
             WatchOutput::ReadList => self.read_list().await,
@@ -139,7 +139,7 @@
         self.watch = None;
         self.fragments.clear();
         if reason == DisconnectReason::TimedOut {
-            self.log_loss(&WatchError::Silent);
+            self.log_loss(&WatchError::NoProgress);
         }
     }
 
@@ -148,7 +148,7 @@
         let endpoints = &self.settings.endpoints.0;
         let address = endpoints[endpoint % endpoints.len().max(1)];
         self.address = Some(address);
-        // Read at each connection, so that the token can be replaced while the program runs.
+        // The token is read for each connection, so that it can be replaced while the process is running.
         let token = self
             .settings
             .token_file
@@ -156,7 +156,7 @@
             .map(read_token)
             .transpose()?;
         let connect = RegistryClient::connect(address, timeout, token.as_deref());
-        self.client = Some(in_time(timeout, connect).await?);
+        self.client = Some(with_timeout(timeout, connect).await?);
         Ok(WatchInput::Connected)
     }
 
@@ -166,14 +166,14 @@
             return Ok(None);
         };
         let prefix = self.settings.prefix.as_bytes();
-        let list = in_time(timeout, client.read_prefix(prefix)).await?;
+        let list = with_timeout(timeout, client.read_prefix(prefix)).await?;
         let position = position(list.header);
         let updates = list
             .kvs
             .into_iter()
             .filter_map(|kv| self.update(kv, proto::EventType::Put))
             .collect();
-        // What becomes of it need not be looked at: a consistent list always applies.
+        // The outcome is ignored: a consistent list is always applied.
         (self.on_report)(SourceInput::FullList(FullList {
             position,
             consistency: ReadConsistency::Consistent,
@@ -189,11 +189,11 @@
         };
         self.fragments.clear();
         let prefix = self.settings.prefix.as_bytes();
-        self.watch = Some(in_time(timeout, client.watch_prefix(prefix, from)).await?);
+        self.watch = Some(with_timeout(timeout, client.watch_prefix(prefix, from)).await?);
         Ok(())
     }
 
-    /// Waits for the next answer or the deadline; returns what follows from it.
+    /// Waits for the next response or the deadline; returns the resulting actions.
     async fn wait(&mut self) -> Vec<WatchOutput> {
         let timeout = self.until_deadline();
         let Some(watch) = &mut self.watch else {
@@ -202,14 +202,14 @@
         };
         let error = match tokio::time::timeout(timeout, watch.responses.message()).await {
             Err(_) => return self.handle(WatchInput::Tick),
-            Ok(Ok(Some(response))) => return self.respond_to(response),
+            Ok(Ok(Some(response))) => return self.handle_response(response),
             Ok(Ok(None)) => WatchError::StreamEnded,
             Ok(Err(status)) => status.into(),
         };
-        self.lose(&error)
+        self.connection_lost(&error)
     }
 
-    fn respond_to(&mut self, response: proto::WatchResponse) -> Vec<WatchOutput> {
+    fn handle_response(&mut self, response: proto::WatchResponse) -> Vec<WatchOutput> {
         if response.compact_revision > 0 {
             let revision = response.compact_revision;
             tracing::info!(revision, "registry watch compacted, full list needed");
@@ -217,7 +217,7 @@
             return self.handle(WatchInput::Compacted);
         }
         if response.canceled {
-            return self.lose(&WatchError::Cancelled(response.cancel_reason));
+            return self.connection_lost(&WatchError::Cancelled(response.cancel_reason));
         }
         if response.created {
             if std::mem::take(&mut self.loss_logged) {
@@ -240,14 +240,14 @@
         if response.fragment {
             return self.handle(WatchInput::Fragment);
         }
-        self.pass_on_changes(position(response.header))
+        self.report_changes(position(response.header))
     }
 
-    /// Passes on the changes of a complete answer, whose header has this position.
-    fn pass_on_changes(&mut self, header: Position) -> Vec<WatchOutput> {
+    /// Reports the changes of a complete response, whose header has this position.
+    fn report_changes(&mut self, header: Position) -> Vec<WatchOutput> {
         let updates = std::mem::take(&mut self.fragments);
-        // The header may be ahead of the events that it comes with, which prove only the revision that they reach. An answer
-        // without events proves the revision of its header.
+        // The revision of the header may be ahead of the events in the response. With events, all changes are known only up
+        // to the last event; without events, up to the revision of the header.
         let reached = updates.iter().map(|update| update.revision).max();
         let position = Position {
             revision: reached.unwrap_or(header.revision),
@@ -261,10 +261,10 @@
         }
     }
 
-    /// The update of the member whose key it is; none where the key is not a member's.
+    /// Converts a key to an update of its member; `None` if the key does not belong to a member.
     fn update(&mut self, kv: proto::KeyValue, kind: proto::EventType) -> Option<MemberUpdate> {
         let prefix = self.settings.prefix.as_bytes();
-        // A key that is not UTF-8 has no member's id, and one without the prefix was not asked for.
+        // A member's id is UTF-8; a key without the prefix was not requested.
         let id = String::from_utf8(kv.key.strip_prefix(prefix)?.to_vec()).ok()?;
         if id.is_empty() {
             return None;
@@ -281,6 +281,7 @@
         })
     }
 
+    /// Parses a member's record, and logs a rejection.
     fn record(&mut self, id: &str, value: &[u8]) -> Option<MemberRecord> {
         let parsed = MemberRecord::parse(value, &self.settings.allowed);
         let record = self.rejections.check(id, parsed);
@@ -290,12 +291,12 @@
         record.ok()
     }
 
-    fn lose(&mut self, error: &WatchError) -> Vec<WatchOutput> {
+    fn connection_lost(&mut self, error: &WatchError) -> Vec<WatchOutput> {
         self.log_loss(error);
         self.handle(WatchInput::ConnectionLost)
     }
 
-    /// Logs a loss once, however many attempts it takes to reconnect.
+    /// Logs a loss of the watch once, independently of the number of reconnect attempts.
     fn log_loss(&mut self, error: &WatchError) {
         if !std::mem::replace(&mut self.loss_logged, true) {
             tracing::warn!(address = self.address.map(display), %error, "registry watch lost");
@@ -310,12 +311,12 @@
     })
 }
 
-async fn in_time<T>(
+async fn with_timeout<T>(
     timeout: Duration,
     call: impl std::future::Future<Output = Result<T, Status>>,
 ) -> Result<T, WatchError> {
     match tokio::time::timeout(timeout, call).await {
-        Ok(answer) => Ok(answer?),
+        Ok(response) => Ok(response?),
         Err(_) => Err(WatchError::TimedOut),
     }
 }
@@ -328,7 +329,7 @@
     }
 }
 
-/// Revisions are signed in the protocol, and never negative.
+/// Converts a revision, which is signed in the protocol but never negative.
 fn unsigned(revision: i64) -> u64 {
     u64::try_from(revision).unwrap_or(0)
 }
--- a/crates/etcd/tests/watch.rs
+++ b/crates/etcd/tests/watch.rs
@@ -1,4 +1,5 @@
-//! The watch of a registry, against a fake one and through connections that break. Each test waits for a state of the list.
+//! The watch against a fake registry, with connections that are lost or stop responding. Each test waits for a state of the
+//! list.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -14,21 +15,21 @@
 use applewall_operator_config::{DurationSetting, EnabledFlag, Networks};
 use tokio::task::JoinHandle;
 
-/// How long a test waits for a state; long, so that a busy machine does not fail it.
+/// How long a test waits for a state; long enough that it does not fail on a busy machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 const REGISTRY: SourceId = SourceId(0);
 
-/// A watch of a fake registry, with a TCP proxy before each of its endpoints.
+/// A watch of a fake registry, with a TCP proxy in front of each of its endpoints.
 struct Fixture {
     registry: EtcdServer,
-    wires: Vec<TcpProxy>,
+    proxies: Vec<TcpProxy>,
     membership: Arc<Mutex<MergedMembership>>,
     known: Arc<Mutex<Known>>,
     task: JoinHandle<()>,
 }
 
-/// What is known from changes alone.
+/// The members as the reported changes add up to them.
 #[derive(Default)]
 struct Known {
     states: BTreeMap<String, MemberState>,
@@ -47,14 +48,14 @@
     }
 }
 
-fn settings(wires: &[TcpProxy]) -> Settings {
+fn settings(proxies: &[TcpProxy]) -> Settings {
     Settings {
         enabled: EnabledFlag(true),
-        endpoints: Endpoints(wires.iter().map(|wire| wire.address).collect()),
+        endpoints: Endpoints(proxies.iter().map(|proxy| proxy.address).collect()),
         prefix: "/m/".into(),
         backoff: DurationSetting::from_millis(50),
         spread: DurationSetting::from_millis(20),
-        // Only silence is recognised by time: a busy machine must not look silent.
+        // Long enough that a registry on a busy machine does not time out; the test of silent watches sets a shorter one.
         patience: DurationSetting::from_millis(5_000),
         ..Settings::default()
     }
@@ -62,18 +63,18 @@
 
 async fn start(
     registry: EtcdServer,
-    members: usize,
+    endpoints: usize,
     change: impl FnOnce(&mut Settings),
 ) -> Fixture {
-    let mut wires = Vec::new();
-    for _ in 0..members {
-        wires.push(
+    let mut proxies = Vec::new();
+    for _ in 0..endpoints {
+        proxies.push(
             TcpProxy::start(registry.listen().await.unwrap())
                 .await
                 .unwrap(),
         );
     }
-    let mut settings = settings(&wires);
+    let mut settings = settings(&proxies);
     change(&mut settings);
     let membership = Arc::new(Mutex::new(MergedMembership::new(1, Duration::MAX)));
     let known = Arc::new(Mutex::new(Known::default()));
@@ -93,7 +94,7 @@
     });
     Fixture {
         registry,
-        wires,
+        proxies,
         membership,
         known,
         task,
@@ -105,7 +106,7 @@
 }
 
 impl Fixture {
-    async fn until(
+    async fn wait_until(
         &self,
         what: &str,
         mut holds: impl FnMut(&BTreeMap<String, MemberState>) -> bool,
@@ -145,7 +146,7 @@
     })
     .await;
     fixture
-        .until("a", |list| list.len() == 1 && list.contains_key("a"))
+        .wait_until("a", |list| list.len() == 1 && list.contains_key("a"))
         .await;
     fixture.registry.put("/m/b", &value(2, "terminating"));
     fixture
@@ -153,13 +154,15 @@
         .put("/m/elsewhere", r#"{"endpoint":"192.0.2.1:80"}"#);
     fixture.registry.put("/m/bad", &value(3, "in_service"));
     fixture
-        .until("b and bad", |list| {
+        .wait_until("b and bad", |list| {
             list.len() == 3 && list.get("b") == Some(&MemberState::Terminating)
         })
         .await;
-    // A member whose value turns malformed is left out.
+    // A member whose value becomes malformed is removed.
     fixture.registry.put("/m/a", "no JSON at all");
-    fixture.until("without a", |list| list.len() == 2).await;
+    fixture
+        .wait_until("without a", |list| list.len() == 2)
+        .await;
     assert_eq!(fixture.registry.calls.ranges.load(Ordering::Relaxed), 1);
 }
 
@@ -168,20 +171,20 @@
     let registry = EtcdServer::new(7, 0);
     registry.put("/m/a", &value(1, "in_service"));
     let fixture = start(registry, 2, |_| ()).await;
-    fixture.until("a", |list| list.len() == 1).await;
+    fixture.wait_until("a", |list| list.len() == 1).await;
     for round in 0..20u16 {
-        fixture.wires.iter().for_each(TcpProxy::disconnect);
-        // Removed and added again during the break: one new incarnation, however it is reported.
+        fixture.proxies.iter().for_each(TcpProxy::disconnect);
+        // Deleted and created again while disconnected: one new incarnation, however it is reported.
         fixture.registry.delete("/m/a");
         fixture.registry.put("/m/a", &value(1, "in_service"));
         fixture
             .registry
             .put(&format!("/m/n{round}"), &value(100 + round, "in_service"));
         fixture
-            .until("the next", |list| list.len() == 2 + usize::from(round))
+            .wait_until("the next", |list| list.len() == 2 + usize::from(round))
             .await;
     }
-    // 20 new members, 20 further incarnations of a, and its first.
+    // 20 new members, the first incarnation of a, and 20 further ones.
     assert_eq!(fixture.new_incarnations(), 41);
     assert_eq!(fixture.registry.calls.ranges.load(Ordering::Relaxed), 1);
 }
@@ -192,15 +195,15 @@
     registry.put("/m/a", &value(1, "in_service"));
     registry.put("/m/b", &value(2, "in_service"));
     let fixture = start(registry, 1, |_| ()).await;
-    fixture.until("both", |list| list.len() == 2).await;
-    fixture.wires[0].set_refusing(true);
-    fixture.wires[0].disconnect();
+    fixture.wait_until("both", |list| list.len() == 2).await;
+    fixture.proxies[0].set_refusing(true);
+    fixture.proxies[0].disconnect();
     fixture.registry.delete("/m/a");
     let last = fixture.registry.put("/m/c", &value(3, "in_service"));
     fixture.registry.compact(last);
-    fixture.wires[0].set_refusing(false);
+    fixture.proxies[0].set_refusing(false);
     fixture
-        .until("c in place of a", |list| {
+        .wait_until("c in place of a", |list| {
             list.len() == 2 && list.contains_key("c")
         })
         .await;
@@ -217,20 +220,20 @@
         settings.patience = DurationSetting::from_millis(150);
     })
     .await;
-    fixture.until("a", |list| list.len() == 1).await;
+    fixture.wait_until("a", |list| list.len() == 1).await;
     for round in 0..6 {
-        // Once the connection of the round before is closed, only the one in use falls silent.
-        let in_use = |wire: &&TcpProxy| wire.connections.open() > 0;
+        // Waits until the connection of the previous round is closed, so that only the connection in use is silenced.
+        let in_use = |proxy: &&TcpProxy| proxy.connections.open() > 0;
         fixture
-            .until("one connection", |_| {
-                fixture.wires.iter().filter(in_use).count() == 1
+            .wait_until("one connection", |_| {
+                fixture.proxies.iter().filter(in_use).count() == 1
             })
             .await;
         fixture
-            .wires
+            .proxies
             .iter()
             .filter(in_use)
-            .for_each(|wire| wire.set_silent(true));
+            .for_each(|proxy| proxy.set_silent(true));
         let (text, state) = if round % 2 == 0 {
             ("terminating", MemberState::Terminating)
         } else {
@@ -238,9 +241,12 @@
         };
         fixture.registry.put("/m/a", &value(1, text));
         fixture
-            .until(text, |list| list.get("a") == Some(&state))
+            .wait_until(text, |list| list.get("a") == Some(&state))
             .await;
-        fixture.wires.iter().for_each(|wire| wire.set_silent(false));
+        fixture
+            .proxies
+            .iter()
+            .for_each(|proxy| proxy.set_silent(false));
     }
     assert_eq!(
         (
@@ -259,16 +265,16 @@
         registry.put(&format!("/m/s-{index}"), &value(1 + index, "in_service"));
     }
     let fixture = start(registry, 1, |_| ()).await;
-    fixture.until("40", |list| list.len() == 40).await;
-    fixture.wires[0].set_refusing(true);
-    fixture.wires[0].disconnect();
+    fixture.wait_until("40", |list| list.len() == 40).await;
+    fixture.proxies[0].set_refusing(true);
+    fixture.proxies[0].disconnect();
     fixture.registry.reset(8);
     fixture.registry.put("/m/s-1", &value(2, "in_service"));
-    fixture.wires[0].set_refusing(false);
-    fixture.until("one", |list| list.len() == 1).await;
+    fixture.proxies[0].set_refusing(false);
+    fixture.wait_until("one", |list| list.len() == 1).await;
     assert_eq!(fixture.new_incarnations(), 40);
     fixture.registry.put("/m/s-2", &value(3, "in_service"));
-    fixture.until("two", |list| list.len() == 2).await;
+    fixture.wait_until("two", |list| list.len() == 2).await;
     assert_eq!(
         fixture
             .membership
@@ -288,14 +294,18 @@
         registry.put(&format!("/m/s-{index}"), &value(1 + index, "in_service"));
     }
     let fixture = start(registry, 1, |_| ()).await;
-    fixture.until("5,000", |list| list.len() == 5_000).await;
+    fixture
+        .wait_until("5,000", |list| list.len() == 5_000)
+        .await;
     assert_eq!(fixture.registry.calls.ranges.load(Ordering::Relaxed), 3);
-    fixture.wires[0].set_silent(true);
+    fixture.proxies[0].set_silent(true);
     for index in 0..1_000 {
         fixture.registry.delete(&format!("/m/s-{index}"));
     }
-    fixture.wires[0].set_silent(false);
-    fixture.until("4,000", |list| list.len() == 4_000).await;
+    fixture.proxies[0].set_silent(false);
+    fixture
+        .wait_until("4,000", |list| list.len() == 4_000)
+        .await;
     assert_eq!(fixture.registry.calls.ranges.load(Ordering::Relaxed), 3);
 }
 
@@ -307,9 +317,9 @@
     }
     let writer = registry.clone();
     let fixture = start(registry, 1, |_| ()).await;
-    // After the first page: one of the first is removed, one of the last is drained, and one is new.
+    // After the first page is read, a member on it is deleted, one on the last page is drained, and one is added.
     fixture
-        .until("reading", |_| {
+        .wait_until("reading", |_| {
             writer.calls.ranges.load(Ordering::Relaxed) >= 1
         })
         .await;
@@ -317,7 +327,7 @@
     writer.put("/m/s-4999", &value(5_000, "terminating"));
     writer.put("/m/t", &value(6_000, "in_service"));
     fixture
-        .until("all three", |list| {
+        .wait_until("all three", |list| {
             list.len() == 5_000
                 && list.contains_key("t")
                 && list.get("s-4999") == Some(&MemberState::Terminating)
@@ -337,11 +347,11 @@
         settings.token_file = Some(file.to_str().unwrap().into());
     })
     .await;
-    let attempted = || fixture.wires[0].connections.accepted() > 2;
+    let attempted = || fixture.proxies[0].connections.accepted() > 2;
     fixture
-        .until("three connections", |list| list.is_empty() && attempted())
+        .wait_until("three connections", |list| list.is_empty() && attempted())
         .await;
     std::fs::write(&file, "s3cret\n").unwrap();
-    fixture.until("a", |list| list.len() == 1).await;
+    fixture.wait_until("a", |list| list.len() == 1).await;
     std::fs::remove_file(&file).unwrap();
 }
