--- a/crates/consul/src/settings.rs
+++ b/crates/consul/src/settings.rs
@@ -1,34 +1,34 @@
-//! `[consul]` of the operator's file. The names of the fields are the file's keys.
+//! Settings in section `[consul]` of the operator's file. Field names are the keys in the file.
 
 use applewall_operator_config::{DurationSetting, EnabledFlag, Networks};
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-/// `[consul]`: membership in a Consul-style store, with precedence after a registry and before discovery.
+/// `[consul]`: membership from a Consul-style store. It takes precedence over discovery, and an etcd registry over it.
 #[derive(Clone, Debug, Deserialize, Validate, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Settings {
-    /// Off: the store is not asked.
-    #[garde(custom(with_agent(&self.agent)))]
+    /// Whether the store is used.
+    #[garde(custom(requires_agent(&self.agent)))]
     pub enabled: EnabledFlag,
-    /// The agent on this machine, address and port.
+    /// Address and port of the agent on this machine.
     pub agent: Option<std::net::SocketAddr>,
-    /// Keys with this prefix are members; the rest of the key is the member's id.
-    #[garde(length(min = 1, max = 512), custom(plain_path))]
+    /// Prefix of the members' keys; the rest of a key is the member's id.
+    #[garde(length(min = 1, max = 512), custom(needs_no_escaping))]
     pub prefix: String,
-    /// A file with the token that is sent with each query. Read again at each connection.
+    /// File with the token that is sent with each query. It is read again for each connection.
     pub token_file: Option<String>,
-    /// Networks that members may listen in; none: any network.
+    /// Networks that members may listen in; if empty, any network is allowed.
     pub allowed: Networks,
-    /// Wait of a blocking query. A query that is stuck is noticed after this and `patience`.
+    /// Wait time of a blocking query. A query without a response times out after this plus `patience`.
     #[garde(dive)]
     pub wait: DurationSetting,
-    /// How much later than its wait an answer may come.
+    /// How much later than the wait time of its query a response may arrive.
     #[garde(dive)]
     pub patience: DurationSetting,
-    /// The longest wait after a failure.
+    /// Maximum delay after a failure.
     #[garde(dive)]
     pub backoff: DurationSetting,
 }
@@ -49,24 +49,24 @@
 }
 
 /// Rejects a store that is enabled without an agent.
-fn with_agent(
+fn requires_agent(
     agent: &Option<std::net::SocketAddr>,
 ) -> impl FnOnce(&EnabledFlag, &()) -> garde::Result + '_ {
     move |enabled, ()| {
         if enabled.0 && agent.is_none() {
-            return Err(garde::Error::new("on, but no agent is named"));
+            return Err(garde::Error::new("on, but no agent is configured"));
         }
         Ok(())
     }
 }
 
-/// Rejects a prefix with characters that would need escaping: it becomes part of a query's path as it is.
-fn plain_path(prefix: &str, (): &()) -> garde::Result {
-    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._/-".contains(&byte);
-    if prefix.bytes().all(is_plain) {
+/// Rejects a prefix with characters that would need escaping: the prefix is inserted into the path of a query as it is.
+fn needs_no_escaping(prefix: &str, (): &()) -> garde::Result {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._/-".contains(&byte);
+    if prefix.bytes().all(is_allowed) {
         return Ok(());
     }
     Err(garde::Error::new(
-        "holds more than letters, digits and . _ / -",
+        "only letters, digits and . _ / - are allowed",
     ))
 }
--- a/crates/etcd/src/settings.rs
+++ b/crates/etcd/src/settings.rs
@@ -1,11 +1,11 @@
-//! `[registry]` of the operator's file. The names of the fields are the file's keys.
+//! Settings in section `[registry]` of the operator's file. Field names are the keys in the file.
 
 use applewall_operator_config::{DurationSetting, EnabledFlag, Networks};
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::{Deserialize, Deserializer};
 
-/// Addresses of a registry's members, separated by commas.
+/// Addresses of the members of a registry's cluster, separated by commas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, JsonSchema)]
 pub struct Endpoints(#[schemars(with = "String")] pub Vec<std::net::SocketAddr>);
 
@@ -16,7 +16,7 @@
         let address = |item: &str| {
             item.parse().map_err(|_| {
                 serde::de::Error::custom(format_args!(
-                    "'{item}' is no address with a port, such as 10.0.0.5:2379"
+                    "'{item}' is not an address with a port, such as 10.0.0.5:2379"
                 ))
             })
         };
@@ -28,41 +28,41 @@
     }
 }
 
-/// `[registry]`: membership in an etcd v3 registry, which takes precedence over discovery.
+/// `[registry]`: membership from an etcd v3 registry, which takes precedence over discovery.
 #[derive(Clone, Debug, Deserialize, Validate, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Settings {
-    /// Off: the registry is not asked, and discovery alone decides who is a member.
-    #[garde(custom(with_endpoints(&self.endpoints)))]
+    /// Whether the registry is used. If it is off, the members come from discovery alone.
+    #[garde(custom(requires_endpoints(&self.endpoints)))]
     pub enabled: EnabledFlag,
-    /// Members of the registry's cluster; another one is tried after each loss.
+    /// Members of the registry's cluster. The next one is tried after each lost connection.
     pub endpoints: Endpoints,
-    /// Keys with this prefix are members; the rest of the key is the member's id.
+    /// Prefix of the members' keys; the rest of a key is the member's id.
     #[garde(length(min = 1, max = 1_024))]
     pub prefix: String,
-    /// A file with the token that is sent with each call. Read again at each connection.
+    /// File with the token that is sent with each call. It is read again for each connection.
     pub token_file: Option<String>,
-    /// Networks that members may listen in; none: any network.
+    /// Networks that members may listen in; if empty, any network is allowed.
     pub allowed: Networks,
-    /// Interval between two progress requests, which prove that the watch is alive.
+    /// Interval between two progress requests, which check that the watch is alive.
     #[garde(dive)]
     pub probe: DurationSetting,
-    /// Timeout of any answer; a full list may take ten times as long.
+    /// Timeout of a response; a full read may take ten times as long.
     #[garde(dive)]
     pub patience: DurationSetting,
-    /// The longest wait before a reconnect.
+    /// Maximum delay before a reconnect.
     #[garde(dive)]
     pub backoff: DurationSetting,
-    /// Bound on the random delay of a full read that a whole fleet needs at once.
+    /// Maximum random delay of a full read that all nodes of a fleet need at the same time.
     #[garde(dive)]
     pub spread: DurationSetting,
-    /// Maximum age of the list: without a proof for so long that it is current, another source is preferred.
+    /// Maximum age of the list: after this time without a confirmation that it is current, other sources take precedence.
     #[garde(dive)]
     pub believed: DurationSetting,
-    /// Directory of the snapshot of the last good list, for the next start; not set: no snapshot.
+    /// Directory of the snapshot of the last known list, which the next start reads; if not set, there is no snapshot.
     pub snapshot: Option<String>,
-    /// Maximum age of a snapshot that is used.
+    /// Maximum age of a snapshot; an older one is rejected.
     #[garde(dive)]
     pub snapshot_age: DurationSetting,
 }
@@ -86,11 +86,13 @@
     }
 }
 
-/// Rejects a registry that is enabled without an endpoint.
-fn with_endpoints(endpoints: &Endpoints) -> impl FnOnce(&EnabledFlag, &()) -> garde::Result + '_ {
+/// Rejects a registry that is enabled without endpoints.
+fn requires_endpoints(
+    endpoints: &Endpoints,
+) -> impl FnOnce(&EnabledFlag, &()) -> garde::Result + '_ {
     move |enabled, ()| {
         if enabled.0 && endpoints.0.is_empty() {
-            return Err(garde::Error::new("on, but no endpoints are named"));
+            return Err(garde::Error::new("on, but no endpoints are configured"));
         }
         Ok(())
     }
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,7 +1,7 @@
 //! Why a file is rejected: section, key and reason.
 //!
-//! serde and garde report paths of struct fields; this module converts their reports to sections and keys, and to a single
-//! line, since the log has one line for each event.
+//! serde and garde report the paths of struct fields. This module converts their errors to section, key and a single line of
+//! text, since the log has one line for each event.
 
 use std::fmt;
 
@@ -10,11 +10,11 @@
 /// Why a file is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub struct Error {
-    /// The section, if it is known.
+    /// The section, if known.
     pub section: Option<String>,
-    /// The key, if it is known.
+    /// The key, if known.
     pub key: Option<String>,
-    /// The reason, in one line.
+    /// The reason, as a single line.
     pub reason: String,
 }
 
@@ -31,13 +31,13 @@
 }
 
 impl Error {
-    /// An error at a path of serde or garde, `section.key`.
+    /// Creates an error at a path as serde and garde report it, `section.key`.
     pub(crate) fn at(path: &str, reason: impl fmt::Display) -> Self {
         let mut names = path
             .split('.')
             .filter(|name| !name.is_empty())
             .map(str::to_string);
-        // The reasons of the libraries may have several lines.
+        // The libraries' reasons may have several lines.
         let reason = reason.to_string();
         let words: Vec<&str> = reason.split_whitespace().collect();
         Error {
@@ -47,16 +47,19 @@
         }
     }
 
-    /// An unknown section or key at a path; `expected` lists the known ones as serde does.
+    /// Creates an error for an unknown section or key. `expected` lists the known ones in serde's format.
     fn unknown(path: &str, name: &str, expected: &str) -> Self {
         let expected = expected.trim_start_matches("one of ").replace('`', "");
         let section = path.split('.').next().unwrap_or_default();
         if section.is_empty() || section == name && !path.contains('.') {
-            return Error::at(name, format_args!("unknown section; there are: {expected}"));
+            return Error::at(
+                name,
+                format_args!("unknown section; known sections: {expected}"),
+            );
         }
         Error::at(
             &format!("{section}.{name}"),
-            format_args!("unknown key; there are: {expected}"),
+            format_args!("unknown key; known keys: {expected}"),
         )
     }
 }
@@ -80,7 +83,7 @@
 impl From<serde_path_to_error::Error<ValueError>> for Error {
     fn from(error: serde_path_to_error::Error<ValueError>) -> Self {
         let (path, text) = (error.path().to_string(), error.inner().to_string());
-        // The path of the root, as serde_path_to_error writes it.
+        // serde_path_to_error writes the path of the root as a dot.
         let path = if path == "." { String::new() } else { path };
         match text.strip_prefix("unknown field `") {
             Some(rest) => {
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operator's configuration file: parses INI text into validated settings, or into one error line.
+//! The operator's configuration file: parses INI text into validated settings, or returns a one-line error.
 //!
-//! The sections are defined elsewhere: each subsystem has a type for its section, with `serde` for the keys, `garde` for
-//! their ranges and `schemars` for the published schema, and the program passes a type that contains all of them to
-//! [`read`]. No I/O and no clock.
+//! The sections are defined by the subsystems: each has a type for its section, with `serde` for the keys, `garde` for their
+//! ranges and `schemars` for the published schema. The program passes a type that contains all sections to [`read`]. This
+//! crate does no I/O and reads no clock.
 
 mod error;
 mod units;
@@ -22,12 +22,12 @@
 pub use error::Error;
 pub use units::{number, DurationSetting, EnabledFlag, Networks, Size};
 
-/// Parses the content of a file. Missing sections and keys have their defaults.
+/// Parses the content of a file. Missing sections and keys take their default values.
 ///
 /// # Errors
 ///
-/// The first error in the file: text that is not INI, a key outside of a section, a section or key that is unknown or
-/// repeated, a value that can't be parsed or is out of its range.
+/// The first error that is found: the text is not INI, a key is outside of any section, a section or key is unknown or
+/// repeated, or a value cannot be parsed or is out of range.
 pub fn read<T>(text: &str) -> Result<T, Error>
 where
     T: DeserializeOwned + Validate<Context = ()>,
@@ -43,10 +43,10 @@
     serde_json::to_string_pretty(&schemars::schema_for!(T)).unwrap_or_default()
 }
 
-/// The values of each section, by key.
+/// The values of all sections, by section and key.
 type Sections = BTreeMap<String, BTreeMap<String, Value>>;
 
-/// Parses INI text; rejects what the parser accepts but a configuration must not have.
+/// Parses INI text. Rejects repeated sections, repeated keys and keys outside of any section, which the parser accepts.
 fn sections(text: &str) -> Result<Sections, Error> {
     let mut sections = Sections::new();
     for (name, properties) in &Ini::load_from_str(text)? {
@@ -55,27 +55,27 @@
             continue;
         };
         let Entry::Vacant(section) = sections.entry(name.to_string()) else {
-            return Err(Error::at(name, "the section comes twice"));
+            return Err(Error::at(name, "duplicate section"));
         };
         let keys = section.insert(BTreeMap::new());
         for (key, value) in properties {
             let previous = keys.insert(key.to_string(), Value(value.to_string()));
-            // The operator may have meant either value.
+            // Either of the two values may be the intended one.
             if previous.is_some() {
-                return Err(Error::at(&format!("{name}.{key}"), "the key comes twice"));
+                return Err(Error::at(&format!("{name}.{key}"), "duplicate key"));
             }
         }
     }
     Ok(sections)
 }
 
-/// The parser reports a section without a name for every file; only keys in it are an error.
+/// Rejects keys in the unnamed section, which the parser reports for every file.
 fn reject_keys_outside_sections(properties: &Properties) -> Result<(), Error> {
     match properties.iter().next() {
         None => Ok(()),
         Some((key, _)) => Err(Error::at(
             "",
-            format_args!("{key}: stands before any section"),
+            format_args!("{key}: key is outside of any section"),
         )),
     }
 }
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -1,4 +1,4 @@
-//! Whole files: settings and defaults, errors with their place, and the schema.
+//! Parsing of whole files: settings and defaults, errors with section and key, and the schema.
 
 use garde::Validate;
 use schemars::JsonSchema;
@@ -52,15 +52,15 @@
     }
 }
 
-/// Files, and how the line about each begins.
+/// Rejected files, with the beginning of the error for each.
 const REJECTED: [(&str, &str); 15] = [
     (
         "[sever]\nenabled = on",
-        "[sever] unknown section; there are: server",
+        "[sever] unknown section; known sections: server",
     ),
     (
         "[server]\nenable = on",
-        "[server] enable: unknown key; there are: enabled, timeout, buffer, share, allowed, workers, cache",
+        "[server] enable: unknown key; known keys: enabled, timeout, buffer, share, allowed, workers, cache",
     ),
     (
         "[server]\nenabled = maybe",
@@ -68,39 +68,39 @@
     ),
     (
         "[server]\ntimeout = 5",
-        "[server] timeout: '5' is no time such as 250ms or 2s",
+        "[server] timeout: '5' is not a duration such as 250ms or 2s",
     ),
     (
         "[server]\ntimeout = 5 parsecs",
-        "[server] timeout: '5 parsecs' is no time such as 250ms or 2s",
+        "[server] timeout: '5 parsecs' is not a duration such as 250ms or 2s",
     ),
     (
         "[server]\nbuffer = 64 furlongs",
-        "[server] buffer: '64 furlongs' is no size such as 64KiB",
+        "[server] buffer: '64 furlongs' is not a size such as 64KiB",
     ),
     (
         "[server]\nshare = half",
-        "[server] share: 'half' is no number: invalid float literal",
+        "[server] share: 'half' is not a number: invalid float literal",
     ),
     ("[server]\nworkers = 4", "[server] workers: lower than 5"),
     ("[server]\nshare = 1.5", "[server] share: greater than 1"),
     (
         "[server]\nshare = NaN",
-        "[server] share: 'NaN' is no finite number",
+        "[server] share: 'NaN' is not a finite number",
     ),
     (
         "[server]\nallowed = 10.0.0.0/40",
-        "[server] allowed: '10.0.0.0/40' is no IP network such as 10.0.0.0/8",
+        "[server] allowed: '10.0.0.0/40' is not an IP network such as 10.0.0.0/8",
     ),
     (
         "[server]\nenabled = on\nenabled = off",
-        "[server] enabled: the key comes twice",
+        "[server] enabled: duplicate key",
     ),
     (
         "[server]\n[server]\nenabled = off",
-        "[server] the section comes twice",
+        "[server] duplicate section",
     ),
-    ("enabled = on", "enabled: stands before any section"),
+    ("enabled = on", "enabled: key is outside of any section"),
     ("[server\nenabled = on", "line "),
 ];
 
--- a/crates/operator-config/src/units.rs
+++ b/crates/operator-config/src/units.rs
@@ -1,7 +1,7 @@
-//! Types of the settings' values: flags, durations, sizes, numbers and IP networks.
+//! Value types of settings: flags, durations, sizes, numbers and IP networks.
 //!
-//! Each type accepts one spelling of its value, publishes it in the schema, and quotes the text that it rejects. The types'
-//! doc comments are descriptions in the published schema.
+//! Each type defines the text format of its value, publishes it in the schema, and quotes a rejected text in its error. The
+//! doc comments of the types are descriptions in the published schema.
 
 use std::fmt::Display;
 use std::net::IpAddr;
@@ -15,10 +15,10 @@
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 
-/// Minimum of a duration setting: a shorter one is most likely a typing error in the unit.
+/// Minimum of a duration setting. A shorter one most likely has a wrong unit.
 const MIN_DURATION: Duration = Duration::from_millis(1);
 
-/// Maximum of a duration setting, one day: a longer one is most likely a typing error in the unit.
+/// Maximum of a duration setting, one day. A longer one most likely has a wrong unit.
 const MAX_DURATION: Duration = Duration::from_secs(24 * 3600);
 
 /// Parses a number, for `#[serde(deserialize_with)]`.
@@ -29,14 +29,14 @@
 pub fn number<'de, D: Deserializer<'de>, T: FromStr<Err: Display>>(from: D) -> Result<T, D::Error> {
     let text = String::deserialize(from)?;
     let number = text.trim();
-    // A later range check would accept NaN, which is neither below the minimum nor above the maximum.
+    // A range check would accept NaN, which is neither below the minimum nor above the maximum.
     if number.parse().is_ok_and(|value: f64| !value.is_finite()) {
-        let reason = format_args!("'{text}' is no finite number");
+        let reason = format_args!("'{text}' is not a finite number");
         return Err(D::Error::custom(reason));
     }
     number
         .parse()
-        .map_err(|error| D::Error::custom(format_args!("'{text}' is no number: {error}")))
+        .map_err(|error| D::Error::custom(format_args!("'{text}' is not a number: {error}")))
 }
 
 /// `on` or `off`.
@@ -56,7 +56,7 @@
     }
 }
 
-/// A duration, such as `250ms` or `1m 30s`; at least a millisecond, at most a day.
+/// A duration such as `250ms` or `1m 30s`, from one millisecond to one day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, JsonSchema, Validate)]
 #[schemars(rename = "Span")]
 pub struct DurationSetting(
@@ -75,12 +75,12 @@
 }
 
 impl DurationSetting {
-    /// A duration in milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         DurationSetting(Duration::from_millis(millis))
     }
 
-    /// In nanoseconds, the unit of the clocks in sans-I/O crates.
+    /// The duration in nanoseconds, the unit of time in the crates without I/O.
     pub fn as_nanos(self) -> u64 {
         u64::try_from(self.0.as_nanos()).unwrap_or(u64::MAX)
     }
@@ -92,7 +92,7 @@
         match humantime::parse_duration(&text) {
             Ok(duration) => Ok(DurationSetting(duration)),
             Err(_) => Err(D::Error::custom(format_args!(
-                "'{text}' is no time such as 250ms or 2s"
+                "'{text}' is not a duration such as 250ms or 2s"
             ))),
         }
     }
@@ -108,18 +108,18 @@
         match text.parse::<ByteSize>() {
             Ok(size) => Ok(Size(size.as_u64())),
             Err(_) => Err(D::Error::custom(format_args!(
-                "'{text}' is no size such as 64KiB"
+                "'{text}' is not a size such as 64KiB"
             ))),
         }
     }
 }
 
-/// IP networks, separated by commas; an address alone is the network of that one address.
+/// IP networks, separated by commas. A single address is a network of one address.
 #[derive(Clone, Debug, Default, PartialEq, Eq, JsonSchema)]
 pub struct Networks(#[schemars(with = "String")] pub Vec<IpNet>);
 
 impl Networks {
-    /// True if one of the networks contains the address. An IPv4-mapped IPv6 address counts as its IPv4 address.
+    /// True if one of the networks contains the address. An IPv4-mapped IPv6 address is treated as its IPv4 address.
     pub fn contains(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
         self.0.iter().any(|network| network.contains(&address))
@@ -133,7 +133,9 @@
         let network = |item: &str| {
             let single = item.parse::<IpAddr>().map(IpNet::from);
             single.or_else(|_| item.parse()).map_err(|_| {
-                D::Error::custom(format_args!("'{item}' is no IP network such as 10.0.0.0/8"))
+                D::Error::custom(format_args!(
+                    "'{item}' is not an IP network such as 10.0.0.0/8"
+                ))
             })
         };
         items
--- a/crates/operator-config/src/value.rs
+++ b/crates/operator-config/src/value.rs
@@ -1,4 +1,4 @@
-//! Deserialization of a value: text, which becomes `Some` where a setting is optional.
+//! Deserialization of a value from its text; the value of an optional setting becomes `Some`.
 
 use serde::de::value::{Error, StringDeserializer};
 use serde::de::{Deserializer, IntoDeserializer, Visitor};
@@ -28,7 +28,7 @@
         self.text().deserialize_any(visitor)
     }
 
-    /// A key that is present is `Some`. serde's deserializer of strings rejects an `Option`.
+    /// Deserializes the value of a present key as `Some`. serde's own deserializer for strings does not support `Option`.
     fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Error> {
         visitor.visit_some(self)
     }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -159,15 +159,15 @@
     let cases = [
         (
             "[pacing]",
-            "[pacing] unknown section; there are: log, pace, bulkheads, registry, consul, cold_start",
+            "[pacing] unknown section; known sections: log, pace, bulkheads, registry, consul, cold_start",
         ),
-        ("[pace]\nspeed = 5", "[pace] speed: unknown key; there are: enabled, tick,"),
+        ("[pace]\nspeed = 5", "[pace] speed: unknown key; known keys: enabled, tick,"),
         ("[pace]\ntick = 5ms", "[pace] tick: not between 10ms and 1000ms"),
-        ("[pace]\nout_least = 5 stone", "[pace] out_least: '5 stone' is no size such as 64KiB"),
+        ("[pace]\nout_least = 5 stone", "[pace] out_least: '5 stone' is not a size such as 64KiB"),
         ("[bulkheads]\nipv4_prefix = 33", "[bulkheads] ipv4_prefix: greater than 32"),
-        ("[registry]\nenabled = on", "[registry] enabled: on, but no endpoints are named"),
-        ("[registry]\nendpoints = db:2379", "[registry] endpoints: 'db:2379' is no address with a port"),
-        ("[consul]\nenabled = on", "[consul] enabled: on, but no agent is named"),
+        ("[registry]\nenabled = on", "[registry] enabled: on, but no endpoints are configured"),
+        ("[registry]\nendpoints = db:2379", "[registry] endpoints: 'db:2379' is not an address with a port"),
+        ("[consul]\nenabled = on", "[consul] enabled: on, but no agent is configured"),
         ("[log]\nformat = xml", "[log] format: unknown variant `xml`"),
     ];
     for (number, (text, reason)) in cases.into_iter().enumerate() {
