--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -6,12 +6,12 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Maximum length of a command line in bytes, without its line ending. A command is at most two short words; the maximum
-/// limits the memory that a caller can use that sends something else.
+/// Maximum length of a command line in bytes, without its line ending. A command is at most two short words; the
+/// maximum limits the memory that a caller can use that sends something else.
 pub const MAX_COMMAND_LINE_BYTES: usize = 512;
 
-/// Maximum number of characters of an unexpected word that are quoted in an error: enough to recognize a typing error, and
-/// short enough for one line.
+/// Maximum number of characters of an unexpected word that are quoted in an error: enough to recognize a typing error,
+/// and short enough for one line.
 const MAX_QUOTED_CHARS: usize = 64;
 
 /// An admin command.
--- a/crates/admin/src/lifecycle.rs
+++ b/crates/admin/src/lifecycle.rs
@@ -5,8 +5,8 @@
 //!    any of these --stop--> Terminating or TerminatingReplaced --deadline--> Closing
 //! ```
 //!
-//! Drain, SIGTERM and hot restart all change this one state, so that all connections follow the same rules. A stop overrides
-//! a drain; a process that is stopping never returns to service.
+//! Drain, SIGTERM and hot restart all change this one state, so that all connections follow the same rules. A stop
+//! overrides a drain; a process that is stopping never returns to service.
 
 use std::time::Duration;
 
--- a/crates/admin/src/maintenance.rs
+++ b/crates/admin/src/maintenance.rs
@@ -1,16 +1,16 @@
 //! The endpoints that operators have put into maintenance.
 //!
-//! An id stays in the set until an operator returns the endpoint to service, independently of the endpoint list: an endpoint
-//! that is removed from the list and added again is still in maintenance. The size of the set is limited, and a rejected
-//! command changes nothing.
+//! An id stays in the set until an operator returns the endpoint to service, independently of the endpoint list: an
+//! endpoint that is removed from the list and added again is still in maintenance. The size of the set is limited, and
+//! a rejected command changes nothing.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of ids in maintenance, well above the number of endpoints in the largest planned fleet. Limits the memory
-/// for ids that are removed from the endpoint list and never enabled again.
+/// Maximum number of ids in maintenance, well above the number of endpoints in the largest planned fleet. Limits the
+/// memory for ids that are removed from the endpoint list and never enabled again.
 pub const MAX_IDS_IN_MAINTENANCE: usize = 4096;
 
 /// Why a change of the set is rejected.
--- a/crates/admin/src/shutdown_deadlines.rs
+++ b/crates/admin/src/shutdown_deadlines.rs
@@ -7,27 +7,27 @@
 
 use std::time::Duration;
 
-/// How long new connections are accepted after SIGTERM, unless another process has taken over. The platform sends them for
-/// up to 0.4 s; the rest is a margin.
+/// How long new connections are accepted after SIGTERM, unless another process has taken over. The platform sends them
+/// for up to 0.4 s; the rest is a margin.
 pub(crate) const TERMINATION_ACCEPT_PERIOD: Duration = Duration::from_millis(600);
 
 /// Time that the platform adds to the longest request deadline before it kills the process.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// Upper bound of the longest request deadline that the platform takes into account when it schedules the kill, which is
-/// therefore no later than this plus [`KILL_MARGIN`]. If no other process has taken over, this process waits at least this
-/// long for its last responses.
+/// Upper bound of the longest request deadline that the platform takes into account when it schedules the kill, which
+/// is therefore no later than this plus [`KILL_MARGIN`]. If no other process has taken over, this process waits at
+/// least this long for its last responses.
 const PLATFORM_DEADLINE_BOUND: Duration = Duration::from_secs(3);
 
-/// If another process has taken over: time between the closing of idle connections and the kill, so that a client can still
-/// send a last request and receive the response.
+/// If another process has taken over: time between the closing of idle connections and the kill, so that a client can
+/// still send a last request and receive the response.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
 
 /// If no process has taken over: time between the last response to a late request and the kill.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(100);
 
-/// If another process has taken over: like [`RESPONSE_MARGIN`], but larger. The other process serves all new connections,
-/// so that there is no benefit in using all the time up to the kill.
+/// If another process has taken over: like [`RESPONSE_MARGIN`], but larger. The other process serves all new
+/// connections, so that there is no benefit in using all the time up to the kill.
 const REPLACED_RESPONSE_MARGIN: Duration = Duration::from_millis(400);
 
 /// Time to write the response to a request that was in flight at SIGTERM, after the request's own deadline.
@@ -42,8 +42,8 @@
     Replaced,
 }
 
-/// Limits for requests that arrive late in a shutdown. Their responses are due at a fixed time even if their own deadline is
-/// later, because the kill would lose them. Both times count from SIGTERM.
+/// Limits for requests that arrive late in a shutdown. Their responses are due at a fixed time even if their own
+/// deadline is later, because the kill would lose them. Both times count from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LateRequestWindow {
     /// Requests that are accepted after this time are late.
--- a/crates/admin/src/state_file.rs
+++ b/crates/admin/src/state_file.rs
@@ -1,8 +1,8 @@
 //! The state file, from which a process reads the maintenance set if it starts without a hot restart.
 //!
-//! The file is a JSON object with a version number and the ids. Unknown keys are ignored, and older versions are accepted.
-//! Newer versions are rejected, since a newer program may have changed the meaning of the keys. The names of the keys are
-//! part of the format on disk.
+//! The file is a JSON object with a version number and the ids. Unknown keys are ignored, and older versions are
+//! accepted. Newer versions are rejected, since a newer program may have changed the meaning of the keys. The names of
+//! the keys are part of the format on disk.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/consul/src/blocking_query.rs
+++ b/crates/consul/src/blocking_query.rs
@@ -1,14 +1,14 @@
-//! State machine of blocking queries, without I/O and without a clock. It determines the next query and how each response
-//! is used.
+//! State machine of blocking queries, without I/O and without a clock. It determines the next query and how each
+//! response is used.
 //!
 //! It follows Consul's published rules for clients of blocking queries:
 //! - if the index is below the last one, the index of the next query is reset to 0; a missing index counts as 0;
-//! - each wait time is extended by a random amount of up to a sixteenth, so that the queries of a fleet do not end at the
-//!   same time.
+//! - each wait time is extended by a random amount of up to a sixteenth, so that the queries of a fleet do not end at
+//!   the same time.
 //!
-//! Queries are in `stale` mode, which allows any server to respond from its own store. A stale response whose index is below
-//! the last one is dropped, and the query is repeated in `consistent` mode: a stale response does not show whether the
-//! history of the store was reset or the server lags.
+//! Queries are in `stale` mode, which allows any server to respond from its own store. A stale response whose index is
+//! below the last one is dropped, and the query is repeated in `consistent` mode: a stale response does not show
+//! whether the history of the store was reset or the server lags.
 
 use std::time::Duration;
 
@@ -92,8 +92,8 @@
 }
 
 impl BlockingQueryMachine {
-    /// Starts with a consistent query without an index, to which the agent responds immediately. `seed` determines the random
-    /// delays.
+    /// Starts with a consistent query without an index, to which the agent responds immediately. `seed` determines the
+    /// random delays.
     pub fn new(timing: QueryTiming, seed: u64) -> Self {
         BlockingQueryMachine {
             timing,
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Handles the result of the last query; returns how to continue. The current time is not needed, because all delays count
-    /// from the result.
+    /// Handles the result of the last query; returns how to continue. The current time is not needed, because all
+    /// delays count from the result.
     pub fn handle(&mut self, input: QueryInput) -> QueryOutput {
         match input {
             QueryInput::Failed => self.back_off(),
--- a/crates/consul/src/watcher.rs
+++ b/crates/consul/src/watcher.rs
@@ -14,15 +14,15 @@
 use crate::client::{AgentConnection, KeyValue, ListResponse, QueryError};
 use crate::settings::Settings;
 
-/// The cluster id in the positions of a store. Stores have no cluster id; a reset of the history is detected by an index that
-/// goes back.
+/// The cluster id in the positions of a store. Stores have no cluster id; a reset of the history is detected by an
+/// index that goes back.
 const CLUSTER: ClusterId = ClusterId(0);
 
 /// Upper bound of the delay after the first failure: a few round trips to an agent on the same machine.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Watches the store until the future is dropped. Each list that is not dropped is passed to `on_report`. `seed` determines
-/// the random delays.
+/// Watches the store until the future is dropped. Each list that the state machine accepts is passed to `on_report`.
+/// `seed` determines the random delays.
 ///
 /// # Cancel safety
 ///
--- a/crates/consul/tests/watch.rs
+++ b/crates/consul/tests/watch.rs
@@ -37,10 +37,10 @@
         ..Settings::default()
     };
     let source = Arc::new(Mutex::new(Source::default()));
-    let applied = source.clone();
+    let task_source = source.clone();
     let task = tokio::spawn(async move {
         watch(&settings, 1, |report| {
-            applied.lock().unwrap().handle(Instant::now(), report);
+            task_source.lock().unwrap().handle(Instant::now(), report);
         })
         .await;
     });
--- a/crates/etcd-proto/src/lib.rs
+++ b/crates/etcd-proto/src/lib.rs
@@ -1,9 +1,9 @@
-//! Messages of the etcd v3 API (`etcdserverpb` and `mvccpb`), as far as they are used here.
+//! The messages of the etcd v3 API (`etcdserverpb` and `mvccpb`) that this project uses.
 //!
-//! Written as Rust from the public description of the API, field by field with its number, so that no build needs a
-//! protobuf compiler. Fields that are not listed here are skipped when they are received, as protobuf prescribes.
+//! Hand-written from the public description of the API, with the field numbers, so that the build needs no protobuf
+//! compiler. Fields that are not listed here are ignored on receipt, as protobuf prescribes.
 
-/// Paths of the gRPC calls.
+/// Paths of the gRPC methods.
 pub mod path {
     /// Unary call with [`super::RangeRequest`].
     pub const RANGE: &str = "/etcdserverpb.KV/Range";
@@ -17,103 +17,103 @@
     pub const WATCH: &str = "/etcdserverpb.Watch/Watch";
 }
 
-/// Which cluster answered, and at which revision of its store.
+/// Header of each response: the cluster that responded, and the revision of its store.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ResponseHeader {
-    /// Id of the cluster that answered.
+    /// Id of the cluster that responded.
     #[prost(uint64, tag = "1")]
     pub cluster_id: u64,
-    /// Id of the cluster member that answered.
+    /// Id of the cluster member that responded.
     #[prost(uint64, tag = "2")]
     pub member_id: u64,
-    /// Revision of the member's store when it answered.
+    /// Revision of the member's store when it responded.
     #[prost(int64, tag = "3")]
     pub revision: i64,
-    /// The member's Raft term when it answered.
+    /// The member's Raft term when it responded.
     #[prost(uint64, tag = "4")]
     pub raft_term: u64,
 }
 
-/// A key with its value and its history.
+/// A key with its value and its revisions.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct KeyValue {
     /// The key.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// Revision at which the key was created; 0 in the event of its deletion.
+    /// Revision at which the key was created; 0 in a delete event.
     #[prost(int64, tag = "2")]
     pub create_revision: i64,
     /// Revision of the key's last change.
     #[prost(int64, tag = "3")]
     pub mod_revision: i64,
-    /// Number of changes since the key was created; a deletion sets it to 0.
+    /// Version of the key: 1 when it is created, increased by each change, and reset to 0 by a deletion.
     #[prost(int64, tag = "4")]
     pub version: i64,
     /// The value.
     #[prost(bytes = "vec", tag = "5")]
     pub value: Vec<u8>,
-    /// Id of the lease that the key is attached to; 0: none.
+    /// Id of the lease that the key is attached to; 0 if there is none.
     #[prost(int64, tag = "6")]
     pub lease: i64,
 }
 
-/// What an event did.
+/// The kind of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum EventType {
-    /// The key was created or its value replaced.
+    /// The key was created or its value was replaced.
     Put = 0,
-    /// The key was removed.
+    /// The key was deleted.
     Delete = 1,
 }
 
 /// One change of a key.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Event {
-    /// What happened, as a number of [`EventType`].
+    /// The kind of change, as the number of an [`EventType`].
     #[prost(enumeration = "EventType", tag = "1")]
     pub r#type: i32,
     /// The key after the change.
     #[prost(message, optional, tag = "2")]
     pub kv: Option<KeyValue>,
-    /// The key before the change, if the watch asked for it.
+    /// The key before the change, if the watch requested it.
     #[prost(message, optional, tag = "3")]
     pub prev_kv: Option<KeyValue>,
 }
 
-/// Reads the keys from `key` up to `range_end`, exclusive.
+/// Reads the keys from `key` to `range_end` (exclusive).
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RangeRequest {
     /// The first key.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The end of the range; empty: the first key alone.
+    /// The end of the range, exclusive; empty for the first key alone.
     #[prost(bytes = "vec", tag = "2")]
     pub range_end: Vec<u8>,
-    /// Most keys to return; 0: all.
+    /// Maximum number of keys to return; 0 returns all.
     #[prost(int64, tag = "3")]
     pub limit: i64,
-    /// Revision of the store to read at; 0: the present one.
+    /// Revision at which the keys are read; 0 for the current one.
     #[prost(int64, tag = "4")]
     pub revision: i64,
-    /// True: the member may answer from its own store, without agreement of the cluster.
+    /// True if the member may respond from its own store, without consensus of the cluster.
     #[prost(bool, tag = "7")]
     pub serializable: bool,
 }
 
-/// Answer to a [`RangeRequest`].
+/// Response to a [`RangeRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RangeResponse {
-    /// Who answered, and when.
+    /// The header of the response.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
-    /// The keys, in order.
+    /// The keys, in byte order.
     #[prost(message, repeated, tag = "2")]
     pub kvs: Vec<KeyValue>,
-    /// True if the limit left keys out.
+    /// True if the range has more keys than were returned.
     #[prost(bool, tag = "3")]
     pub more: bool,
-    /// Number of keys in the range, whatever the limit.
+    /// Number of keys in the range, independently of the limit.
     #[prost(int64, tag = "4")]
     pub count: i64,
 }
@@ -124,69 +124,69 @@
     /// The key.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// Its new value.
+    /// The new value.
     #[prost(bytes = "vec", tag = "2")]
     pub value: Vec<u8>,
 }
 
-/// Answer to a [`PutRequest`].
+/// Response to a [`PutRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PutResponse {
-    /// Who answered, and at which revision the key was written.
+    /// The header, with the revision at which the key was written.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
 }
 
-/// Removes the keys from `key` up to `range_end`, exclusive.
+/// Deletes the keys from `key` to `range_end` (exclusive).
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DeleteRangeRequest {
     /// The first key.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The end of the range; empty: the first key alone.
+    /// The end of the range, exclusive; empty for the first key alone.
     #[prost(bytes = "vec", tag = "2")]
     pub range_end: Vec<u8>,
 }
 
-/// Answer to a [`DeleteRangeRequest`].
+/// Response to a [`DeleteRangeRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DeleteRangeResponse {
-    /// Who answered, and at which revision the keys were removed.
+    /// The header, with the revision at which the keys were deleted.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
-    /// Number of keys that were removed.
+    /// Number of keys that were deleted.
     #[prost(int64, tag = "2")]
     pub deleted: i64,
 }
 
-/// Removes the history before a revision.
+/// Compacts the store: removes the history before a revision.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CompactionRequest {
     /// The oldest revision that is kept.
     #[prost(int64, tag = "1")]
     pub revision: i64,
-    /// True: answer only once the history is removed from disk.
+    /// True if the response waits until the history was removed from disk.
     #[prost(bool, tag = "2")]
     pub physical: bool,
 }
 
-/// Answer to a [`CompactionRequest`].
+/// Response to a [`CompactionRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CompactionResponse {
-    /// Who answered, and when.
+    /// The header of the response.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
 }
 
-/// A message to the registry on a watch stream.
+/// A message to the server on a watch stream.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WatchRequest {
-    /// What is requested.
+    /// The request.
     #[prost(oneof = "watch_request::Union", tags = "1, 2, 3")]
     pub request_union: Option<watch_request::Union>,
 }
 
-/// Parts of [`WatchRequest`].
+/// Types of the fields of [`WatchRequest`].
 pub mod watch_request {
     /// The kinds of requests.
     #[derive(Clone, PartialEq, prost::Oneof)]
@@ -209,22 +209,22 @@
     /// The first key.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The end of the range; empty: the first key alone.
+    /// The end of the range, exclusive; empty for the first key alone.
     #[prost(bytes = "vec", tag = "2")]
     pub range_end: Vec<u8>,
-    /// Revision of the first event wanted; 0: from now on.
+    /// Revision of the first event to send; 0 for the current one.
     #[prost(int64, tag = "3")]
     pub start_revision: i64,
-    /// True: send a progress notification from time to time while there are no events.
+    /// True if the server sends progress notifications at intervals while there are no events.
     #[prost(bool, tag = "4")]
     pub progress_notify: bool,
-    /// True: send the key before each change as well.
+    /// True if events include the key before the change.
     #[prost(bool, tag = "6")]
     pub prev_kv: bool,
-    /// Id that the watch gets; 0: the registry chooses one.
+    /// Id of the new watch; 0 if the server chooses one.
     #[prost(int64, tag = "7")]
     pub watch_id: i64,
-    /// True: an answer that is too large for one message may be split.
+    /// True if a response that is too large for one message may be split.
     #[prost(bool, tag = "8")]
     pub fragment: bool,
 }
@@ -241,37 +241,37 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WatchProgressRequest {}
 
-/// A message from the registry on a watch stream.
+/// A message from the server on a watch stream.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WatchResponse {
-    /// Who answered, and up to which revision events were sent.
+    /// The header. In a response without events, its revision is the one up to which all events were sent.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
     /// Id of the watch.
     #[prost(int64, tag = "2")]
     pub watch_id: i64,
-    /// True: the watch was created; there are no events.
+    /// True if the watch was created; the response then has no events.
     #[prost(bool, tag = "3")]
     pub created: bool,
-    /// True: the watch was cancelled; there are no events.
+    /// True if the watch was cancelled; the response then has no events.
     #[prost(bool, tag = "4")]
     pub canceled: bool,
-    /// Not 0: the watch asked for a compacted revision, and this is the oldest one kept.
+    /// The oldest revision that is kept, if the watch requested a compacted one; otherwise 0.
     #[prost(int64, tag = "5")]
     pub compact_revision: i64,
     /// Why the watch was cancelled.
     #[prost(string, tag = "6")]
     pub cancel_reason: String,
-    /// True: further events of the same answer follow in the next response.
+    /// True if more events of the same response follow in the next message.
     #[prost(bool, tag = "7")]
     pub fragment: bool,
-    /// What changed, in order.
+    /// The changes, in order.
     #[prost(message, repeated, tag = "11")]
     pub events: Vec<Event>,
 }
 
-/// The end of the range of all keys with a prefix: the prefix up to its last byte below 0xff, with that byte raised by
-/// one; a single zero byte, which means no end, where there is no such byte.
+/// The `range_end` of the range of all keys with a prefix: the prefix up to its last byte below 0xff, with that byte
+/// incremented. If there is no such byte, a single zero byte, which means that the range has no end.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -15,8 +15,8 @@
 use tonic::{Request, Status, Streaming};
 use tonic_prost::ProstCodec;
 
-/// Maximum number of keys in one response to a full read; further calls read the next keys at the same revision. Limits the
-/// registry's work for one response, independently of the size of the fleet.
+/// Maximum number of keys in one response to a full read; further calls read the next keys at the same revision. Limits
+/// the registry's work for one response, independently of the size of the fleet.
 const KEYS_PER_PAGE: i64 = 2_000;
 
 /// Maximum size of a response. A registry accepts values of up to 1.5 MiB, and a page contains many of them.
@@ -183,8 +183,8 @@
 }
 
 impl Watch {
-    /// Requests a progress notification to check that the watch is alive. If the queue of requests is full or closed, the
-    /// request is dropped; the notification then does not arrive, and the watch is considered dead.
+    /// Requests a progress notification to check that the watch is alive. If the queue of requests is full or closed,
+    /// the request is dropped; the notification then does not arrive, and the watch is considered dead.
     pub(crate) fn request_progress(&self) {
         let progress = proto::WatchRequest {
             request_union: Some(Union::Progress(proto::WatchProgressRequest {})),
--- a/crates/etcd/src/settings.rs
+++ b/crates/etcd/src/settings.rs
@@ -57,7 +57,8 @@
     /// Maximum random delay of a full read that all nodes of a fleet need at the same time.
     #[garde(dive)]
     pub spread: DurationSetting,
-    /// Maximum age of the list: after this time without a confirmation that it is current, other sources take precedence.
+    /// Maximum age of the list: after this time without a confirmation that it is current, other sources take
+    /// precedence.
     #[garde(dive)]
     pub believed: DurationSetting,
     /// Directory of the snapshot of the last known list, which the next start reads; if not set, there is no snapshot.
--- a/crates/etcd/src/watcher.rs
+++ b/crates/etcd/src/watcher.rs
@@ -37,9 +37,9 @@
     NoProgress,
 }
 
-/// Watches the registry until the future is dropped. Each report is passed to `on_report` once and in order; if it returns
-/// [`SourceOutput::Gap`], the full list is read again. `position` is that of the restored snapshot, if there is one. `seed`
-/// determines the random delays and the first endpoint.
+/// Watches the registry until the future is dropped. Each report is passed to `on_report` once and in order; if it
+/// returns [`SourceOutput::Gap`], the full list is read again. `position` is that of the restored snapshot, if there is
+/// one. `seed` determines the random delays and the first endpoint.
 ///
 /// # Cancel safety
 ///
@@ -246,8 +246,8 @@
     /// Reports the changes of a complete response, whose header has this position.
     fn report_changes(&mut self, header: Position) -> Vec<WatchOutput> {
         let updates = std::mem::take(&mut self.fragments);
-        // The revision of the header may be ahead of the events in the response. With events, all changes are known only up
-        // to the last event; without events, up to the revision of the header.
+        // The revision of the header may be ahead of the events in the response. With events, all changes are known
+        // only up to the last event; without events, up to the revision of the header.
         let reached = updates.iter().map(|update| update.revision).max();
         let position = Position {
             revision: reached.unwrap_or(header.revision),
--- a/crates/etcd/tests/watch.rs
+++ b/crates/etcd/tests/watch.rs
@@ -1,5 +1,5 @@
-//! The watch against a fake registry, with connections that are lost or stop responding. Each test waits for a state of the
-//! list.
+//! The watch against a fake registry, with connections that are lost or stop responding. Each test waits for a state of
+//! the list.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -55,7 +55,8 @@
         prefix: "/m/".into(),
         backoff: DurationSetting::from_millis(50),
         spread: DurationSetting::from_millis(20),
-        // Long enough that a registry on a busy machine does not time out; the test of silent watches sets a shorter one.
+        // Long enough that a registry on a busy machine does not time out; the test of silent watches sets a shorter
+        // one.
         patience: DurationSetting::from_millis(5_000),
         ..Settings::default()
     }
@@ -78,13 +79,13 @@
     change(&mut settings);
     let membership = Arc::new(Mutex::new(MergedMembership::new(1, Duration::MAX)));
     let known = Arc::new(Mutex::new(Known::default()));
-    let (applied, changed) = (membership.clone(), known.clone());
+    let (task_membership, task_known) = (membership.clone(), known.clone());
     let task = tokio::spawn(async move {
         let on_report = |report: SourceInput| {
             let now = Instant::now();
-            let mut membership = applied.lock().unwrap();
+            let mut membership = task_membership.lock().unwrap();
             let output = membership.source_mut(REGISTRY).handle(now, report);
-            let mut known = changed.lock().unwrap();
+            let mut known = task_known.lock().unwrap();
             for change in membership.take_changes(now) {
                 known.apply(change);
             }
--- a/crates/membership/src/backoff.rs
+++ b/crates/membership/src/backoff.rs
@@ -1,19 +1,19 @@
 //! Exponential backoff between attempts to reach a registry or the discovery service.
 //!
-//! [`Backoff`] has only the bounds. The caller counts the consecutive failures, because the watches differ in which failures
-//! count and in what resets the count.
+//! [`Backoff`] has only the bounds. The caller counts the consecutive failures, because the watches differ in which
+//! failures count and in what resets the count.
 
 use std::ops::Range;
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Maximum number of doublings; one more would overflow the factor. With an initial delay of 20 ms, 31 doublings give over
-/// a year, more than any configured maximum.
+/// Maximum number of doublings; one more would overflow the factor. With an initial delay of 20 ms, 31 doublings give
+/// over a year, more than any configured maximum.
 const MAX_DOUBLINGS: u32 = 31;
 
-/// Range of the random factor of [`proportional_jitter`]. Nodes that lose a service at the same time must not all retry at
-/// the same time, and the delay should keep its order of magnitude.
+/// Range of the random factor of [`proportional_jitter`]. Nodes that lose a service at the same time must not all retry
+/// at the same time, and the delay should keep its order of magnitude.
 const JITTER_FACTOR: Range<f64> = 0.5..1.5;
 
 /// Bounds of an exponential backoff.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -9,8 +9,8 @@
 //! - [`Backoff`]: the delays between attempts, for all watches of registries and discovery;
 //! - [`snapshot`]: the encoded last known list, for a start while the registry is unavailable.
 //!
-//! All state machines have the same interface: `handle(now, input)` takes an event and returns the actions to perform or the
-//! outcome. `now` is the current time of the caller's monotonic clock; nothing here reads a clock.
+//! All state machines have the same interface: `handle(now, input)` takes an event and returns the actions to perform
+//! or the outcome. `now` is the current time of the caller's monotonic clock; nothing here reads a clock.
 
 mod backoff;
 mod merge;
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -1,9 +1,10 @@
 //! Several sources merged into one membership.
 //!
-//! Sources have a fixed order of precedence. A source is *fresh* while its list was known to be current within the maximum
-//! age, and *stale* otherwise. A member's record is that of the first fresh source that has the member, or else that of the
-//! first stale source that has it. If all sources are stale, the order of precedence alone decides. A member is never
-//! removed because of the age of a list alone: requests can be served with an outdated list, but not with an empty one.
+//! Sources have a fixed order of precedence. A source is *fresh* while its list was known to be current within the
+//! maximum age, and *stale* otherwise. A member's record is that of the first fresh source that has the member, or else
+//! that of the first stale source that has it. If all sources are stale, the order of precedence alone decides. A
+//! member is never removed because of the age of a list alone: requests can be served with an outdated list, but not
+//! with an empty one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,8 +1,8 @@
 //! One member's record, as the JSON value of a registry key.
 //!
-//! Values are written by other programs and are validated before use: numbers and texts must be in range, and the address
-//! must be one that a member can listen on, in a network that the operator allows. The published schema for the writers is
-//! derived from the same type.
+//! Values are written by other programs and are validated before use: numbers and texts must be in range, and the
+//! address must be one that a member can listen on, in a network that the operator allows. The published schema for the
+//! writers is derived from the same type.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -61,8 +61,8 @@
     -1
 }
 
-/// Why a value is not a valid record. The text is a single line and does not quote the whole value, which comes from other
-/// programs and may be of any length.
+/// Why a value is not a valid record. The text is a single line and does not quote the whole value, which comes from
+/// other programs and may be of any length.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
     /// The value does not start like a JSON object.
@@ -107,8 +107,8 @@
     ///
     /// # Errors
     ///
-    /// The value is not a record, a number or text is out of range, or the address is outside the allowed networks or one
-    /// that no member can listen on.
+    /// The value is not a record, a number or text is out of range, or the address is outside the allowed networks or
+    /// one that no member can listen on.
     pub fn parse(value: &[u8], allowed: &Networks) -> Result<Self, RecordError> {
         // serde also accepts an array of all fields, which the published schema does not.
         let first = value.trim_ascii_start().first();
--- a/crates/membership/src/rejections.rs
+++ b/crates/membership/src/rejections.rs
@@ -4,7 +4,8 @@
 
 use crate::MemberRecord;
 
-/// Maximum number of rejected members that are logged, so that a registry full of malformed values does not flood the log.
+/// Maximum number of rejected members that are logged, so that a registry full of malformed values does not flood the
+/// log.
 const MAX_LOGGED_REJECTIONS: usize = 100;
 
 /// The rejected members of one source that were logged, by id.
--- a/crates/membership/src/snapshot.rs
+++ b/crates/membership/src/snapshot.rs
@@ -1,8 +1,8 @@
 //! Encoding of the last known list of a registry, with a version, a checksum and a maximum age.
 //!
 //! Format: a header line, `applewall-roster 1 CRC32 LENGTH`, followed by that many bytes of JSON. The word
-//! `applewall-roster` is part of the format of existing files and is independent of the crate's name. A snapshot that is
-//! truncated, corrupted, too old, or from another program or cluster is rejected as a whole.
+//! `applewall-roster` is part of the format of existing files and is independent of the crate's name. A snapshot that
+//! is truncated, corrupted, too old, or from another program or cluster is rejected as a whole.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -18,8 +18,8 @@
 /// The version that is written, and the only one that is accepted.
 const VERSION: u32 = 1;
 
-/// Maximum length of the header line, so that a file without one is not searched to its end. The four fields have at most
-/// 60 bytes.
+/// Maximum length of the header line, so that a file without one is not searched to its end. The four fields have at
+/// most 60 bytes.
 const MAX_HEADER_BYTES: usize = 128;
 
 /// Maximum length of the JSON, enough for several hundred thousand members. Limits the memory that the file
@@ -129,9 +129,9 @@
 }
 
 impl Snapshot {
-    /// Creates a snapshot of a source's members. `now` and `now_unix_ms` are the same time on two clocks. Returns `None`
-    /// until the registry has reported to this process: if a restored list were written again with the current time, it
-    /// would never reach its maximum age.
+    /// Creates a snapshot of a source's members. `now` and `now_unix_ms` are the same time on two clocks. Returns
+    /// `None` until the registry has reported to this process: if a restored list were written again with the current
+    /// time, it would never reach its maximum age.
     pub fn from_source(source: &Source, now: Instant, now_unix_ms: u64) -> Option<Self> {
         let Position { cluster, revision } = source.position()?;
         let age_ms = millis(source.age(now)?);
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -1,8 +1,8 @@
 //! The members that one registry has reported.
 //!
-//! A source takes full lists, changes and progress notifications, each with the position in the registry's history that it
-//! reaches. The members are kept while the registry is unavailable. Invariants: updates at or before the known position
-//! have no effect, even if they are replayed out of order; a consistent full list is always applied.
+//! A source takes full lists, changes and progress notifications, each with the position in the registry's history that
+//! it reaches. The members are kept while the registry is unavailable. Invariants: updates at or before the known
+//! position have no effect, even if they are replayed out of order; a consistent full list is always applied.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -41,7 +41,8 @@
     pub id: String,
     /// The revision of the key's last change.
     pub revision: u64,
-    /// The revision at which the key was created. If the key was deleted and created again, the member is a new incarnation.
+    /// The revision at which the key was created. If the key was deleted and created again, the member is a new
+    /// incarnation.
     pub create_revision: u64,
     /// The member's record; `None` if the key was deleted or its value rejected. In both cases the member receives no
     /// requests.
@@ -82,8 +83,8 @@
     Applied,
     /// The report was dropped: its position is before the known one.
     Outdated,
-    /// The report was dropped: it does not continue from the known position, for example after a reset of the registry's
-    /// history. A full list is needed.
+    /// The report was dropped: it does not continue from the known position, for example after a reset of the
+    /// registry's history. A full list is needed.
     Gap,
 }
 
@@ -142,8 +143,8 @@
     /// Applies a full list.
     ///
     /// A consistent list is always applied. If its revision is below the known one or it is from another cluster, the
-    /// registry's history was reset, and only members whose address changed are new incarnations. A stale list from before
-    /// the known position or from another cluster is dropped.
+    /// registry's history was reset, and only members whose address changed are new incarnations. A stale list from
+    /// before the known position or from another cluster is dropped.
     fn apply_full_list(&mut self, now: Instant, list: FullList) -> SourceOutput {
         let history = self.history_of(list.position);
         if history == History::Reset && list.consistency == ReadConsistency::Stale {
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Applies the changes up to a position, which continue from the last report. Individual updates at or before the known
-    /// position are replays and are dropped.
+    /// Applies the changes up to a position, which continue from the last report. Individual updates at or before the
+    /// known position are replays and are dropped.
     fn apply_changes(
         &mut self,
         now: Instant,
@@ -204,8 +205,8 @@
         output
     }
 
-    /// Advances the known position. A report with an earlier position is a replay, or from a server that lags, and does not
-    /// show that the members are current.
+    /// Advances the known position. A report with an earlier position is a replay, or from a server that lags, and does
+    /// not show that the members are current.
     fn apply_progress(&mut self, now: Instant, position: Position) -> SourceOutput {
         match self.position {
             Some(known) if known.cluster == position.cluster => {
@@ -225,9 +226,9 @@
             return self.remove(update.id);
         };
         let known = self.members.get(&update.id);
-        // A member is a new incarnation if its address changed, or if its key was deleted and created again, even within
-        // one report. After a reset of the history, create revisions cannot be compared, and only the address counts: a
-        // member does not restart when its registry does.
+        // A member is a new incarnation if its address changed, or if its key was deleted and created again, even
+        // within one report. After a reset of the history, create revisions cannot be compared, and only the address
+        // counts: a member does not restart when its registry does.
         let same_incarnation = known.filter(|known| {
             known.record.endpoint == record.endpoint
                 && (history == History::Reset || known.create_revision == update.create_revision)
--- a/crates/membership/src/source/tests.rs
+++ b/crates/membership/src/source/tests.rs
@@ -1,4 +1,5 @@
-//! Full lists, changes and progress notifications of one registry: replayed, outdated, and after a reset of its history.
+//! Full lists, changes and progress notifications of one registry: replayed, outdated, and after a reset of its
+//! history.
 
 use std::time::{Duration, Instant};
 
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/watch.rs
@@ -1,14 +1,14 @@
 //! State machine of a registry watch, without I/O and without a clock.
 //!
-//! The machine connects, reads the full list once (or resumes at the position that an earlier watch reached), watches from
-//! the next revision on, and sends a progress request every `progress_interval` to check that the watch is alive. The
-//! registry answers a progress request from memory, without reading the list. If the response does not arrive within
-//! `response_timeout`, the watch is considered dead and is resumed at the next endpoint.
+//! The machine connects, reads the full list once (or resumes at the position that an earlier watch reached), watches
+//! from the next revision on, and sends a progress request every `progress_interval` to check that the watch is alive.
+//! The registry answers a progress request from memory, without reading the list. If the response does not arrive
+//! within `response_timeout`, the watch is considered dead and is resumed at the next endpoint.
 //!
-//! A fleet must not overload a restarting registry. Only a compaction or a reset of the registry's history requires a full
-//! read; every other reconnect resumes the watch, which costs the registry only the changes. Reconnect delays have full
-//! jitter. A full read after a compaction has a random delay of its own, because a compaction affects all nodes at the same
-//! time; the first full read of a process is not delayed.
+//! A fleet must not overload a restarting registry. Only a compaction or a reset of the registry's history requires a
+//! full read; every other reconnect resumes the watch, which costs the registry only the changes. Reconnect delays have
+//! full jitter. A full read after a compaction has a random delay of its own, because a compaction affects all nodes at
+//! the same time; the first full read of a process is not delayed.
 
 use std::time::{Duration, Instant};
 
@@ -18,8 +18,9 @@
 use crate::backoff::{full_jitter, Backoff};
 use crate::Position;
 
-/// For this long after the watch was last alive, reconnects have short delays: the drain of a member that was written in
-/// the meantime must be received before its notice period ends. Later reconnects back off to limit the load on the registry.
+/// For this long after the watch was last alive, reconnects have short delays: the drain of a member that was written
+/// in the meantime must be received before its notice period ends. Later reconnects back off to limit the load on the
+/// registry.
 const FAST_RECONNECT_PERIOD: Duration = Duration::from_millis(400);
 
 /// Upper bound of the delay before a reconnect within [`FAST_RECONNECT_PERIOD`], as a multiple of the initial backoff.
@@ -32,8 +33,8 @@
 /// Timeout of a full read, as a multiple of the timeout of any other response.
 const FULL_LIST_TIMEOUT_FACTOR: u32 = 10;
 
-/// Range of the random number of the first endpoint, which the caller reduces modulo the number of endpoints. Large enough
-/// that the endpoints of any registry are chosen with nearly equal probability.
+/// Range of the random number of the first endpoint, which the caller reduces modulo the number of endpoints. Large
+/// enough that the endpoints of any registry are chosen with nearly equal probability.
 const INITIAL_ENDPOINT_RANGE: usize = 1 << 16;
 
 /// Intervals, timeouts and delays of a watch.
@@ -137,8 +138,8 @@
     position: Option<Position>,
     /// Whether the next full read is delayed at random, because all nodes of a fleet need it at the same time.
     delays_full_read: bool,
-    /// Number of lost connections since the registry last created a watch, not counting those that led to an immediate or
-    /// a fast reconnect.
+    /// Number of lost connections since the registry last created a watch, not counting those that led to an immediate
+    /// or a fast reconnect.
     failures: u32,
     /// When the watch was last alive.
     last_alive_at: Option<Instant>,
@@ -147,8 +148,8 @@
 }
 
 impl WatchMachine {
-    /// Creates a watch that connects at the first tick. The seed selects the first endpoint, so that the nodes of a fleet
-    /// are distributed over the endpoints. `position` is that of the restored snapshot, if there is one.
+    /// Creates a watch that connects at the first tick. The seed selects the first endpoint, so that the nodes of a
+    /// fleet are distributed over the endpoints. `position` is that of the restored snapshot, if there is one.
     pub fn new(now: Instant, timing: WatchTiming, seed: u64, position: Option<Position>) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let endpoint = rng.random_range(0..INITIAL_ENDPOINT_RANGE);
@@ -226,8 +227,8 @@
         }
     }
 
-    /// Discards the known position, so that the full list is read again. The caller found a gap between its list and the
-    /// registry's history.
+    /// Discards the known position, so that the full list is read again. The caller found a gap between its list and
+    /// the registry's history.
     pub fn invalidate(&mut self, now: Instant) -> Vec<WatchOutput> {
         self.position = None;
         self.consecutive_lagging_responses = 0;
@@ -313,8 +314,8 @@
         vec![WatchOutput::Disconnect { reason }]
     }
 
-    /// The delay before the next connection attempt. There is none if the watch was alive until now: a drain may have been
-    /// written that must be received before its notice period ends.
+    /// The delay before the next connection attempt. There is none if the watch was alive until now: a drain may have
+    /// been written that must be received before its notice period ends.
     fn reconnect_delay(&mut self, now: Instant) -> Duration {
         if self.is_live() {
             return Duration::ZERO;
--- a/crates/membership/tests/source_histories.rs
+++ b/crates/membership/tests/source_histories.rs
@@ -177,8 +177,8 @@
         updates,
     };
     let outcome = source.handle(now, report);
-    // If the history was reset and the cluster id is the same, the watch resumes at a revision that the registry has not
-    // reached yet. Its report cannot be distinguished from an outdated one, and a full read is needed.
+    // If the history was reset and the cluster id is the same, the watch resumes at a revision that the registry has
+    // not reached yet. Its report cannot be distinguished from an outdated one, and a full read is needed.
     let is_reset =
         known.cluster != registry.position.cluster || known.revision > registry.position.revision;
     prop_assert_eq!(outcome != SourceOutput::Applied, is_reset);
--- a/crates/membership/tests/watch_schedules.rs
+++ b/crates/membership/tests/watch_schedules.rs
@@ -1,5 +1,5 @@
-//! Runs the watch and the merged membership against an in-memory registry, in every order of three writes, one compaction,
-//! two lost connections and up to two message deliveries. No order may lose a change or report one twice.
+//! Runs the watch and the merged membership against an in-memory registry, in every order of three writes, one
+//! compaction, two lost connections and up to two message deliveries. No order may lose a change or report one twice.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,7 +1,7 @@
 //! Why a file is rejected: section, key and reason.
 //!
-//! serde and garde report the paths of struct fields. This module converts their errors to section, key and a single line of
-//! text, since the log has one line for each event.
+//! serde and garde report the paths of struct fields. This module converts their errors to section, key and a single
+//! line of text, since the log has one line for each event.
 
 use std::fmt;
 
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operator's configuration file: parses INI text into validated settings, or returns a one-line error.
 //!
-//! The sections are defined by the subsystems: each has a type for its section, with `serde` for the keys, `garde` for their
-//! ranges and `schemars` for the published schema. The program passes a type that contains all sections to [`read`]. This
-//! crate does no I/O and reads no clock.
+//! The sections are defined by the subsystems: each has a type for its section, with `serde` for the keys, `garde` for
+//! their ranges and `schemars` for the published schema. The program passes a type that contains all sections to
+//! [`read`]. This crate does no I/O and reads no clock.
 
 mod error;
 mod units;
@@ -32,13 +32,14 @@
 where
     T: DeserializeOwned + Validate<Context = ()>,
 {
-    let sections = IntoDeserializer::<ValueError>::into_deserializer(sections(text)?);
+    let sections = IntoDeserializer::<ValueError>::into_deserializer(parse_sections(text)?);
     let settings: T = serde_path_to_error::deserialize(sections)?;
     settings.validate()?;
     Ok(settings)
 }
 
-/// The JSON Schema of the files that [`read`] accepts: an object of sections, each an object of keys with string values.
+/// The JSON Schema of the files that [`read`] accepts: an object of sections, each an object of keys with string
+/// values.
 pub fn schema<T: JsonSchema>() -> String {
     serde_json::to_string_pretty(&schemars::schema_for!(T)).unwrap_or_default()
 }
@@ -47,7 +48,7 @@
 type Sections = BTreeMap<String, BTreeMap<String, Value>>;
 
 /// Parses INI text. Rejects repeated sections, repeated keys and keys outside of any section, which the parser accepts.
-fn sections(text: &str) -> Result<Sections, Error> {
+fn parse_sections(text: &str) -> Result<Sections, Error> {
     let mut sections = Sections::new();
     for (name, properties) in &Ini::load_from_str(text)? {
         let Some(name) = name else {
--- a/crates/operator-config/src/units.rs
+++ b/crates/operator-config/src/units.rs
@@ -1,7 +1,7 @@
 //! Value types of settings: flags, durations, sizes, numbers and IP networks.
 //!
-//! Each type defines the text format of its value, publishes it in the schema, and quotes a rejected text in its error. The
-//! doc comments of the types are descriptions in the published schema.
+//! Each type defines the text format of its value, publishes it in the schema, and quotes a rejected text in its error.
+//! The doc comments of the types are descriptions in the published schema.
 
 use std::fmt::Display;
 use std::net::IpAddr;
@@ -61,12 +61,12 @@
 #[schemars(rename = "Span")]
 pub struct DurationSetting(
     #[schemars(with = "String", regex(pattern = "^[0-9]+[a-z]+( [0-9]+[a-z]+)*$"))]
-    #[garde(custom(within_a_day))]
+    #[garde(custom(check_duration_range))]
     pub Duration,
 );
 
 /// Rejects durations outside [`MIN_DURATION`] to [`MAX_DURATION`].
-fn within_a_day(duration: &Duration, (): &()) -> garde::Result {
+fn check_duration_range(duration: &Duration, (): &()) -> garde::Result {
     if (MIN_DURATION..=MAX_DURATION).contains(duration) {
         Ok(())
     } else {
--- a/crates/operator-config/src/value.rs
+++ b/crates/operator-config/src/value.rs
@@ -28,7 +28,8 @@
         self.text().deserialize_any(visitor)
     }
 
-    /// Deserializes the value of a present key as `Some`. serde's own deserializer for strings does not support `Option`.
+    /// Deserializes the value of a present key as `Some`. serde's own deserializer for strings does not support
+    /// `Option`.
     fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Error> {
         visitor.visit_some(self)
     }
