--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -45,24 +45,27 @@
     let wrong = [
         (
             &complete[..complete.len() - 1],
-            "the state file is truncated or of another program: EOF while parsing an object at line 1 column 52",
+            "state file is truncated or malformed: EOF while parsing an object at line 1 column 52",
         ),
         (
             "",
-            "the state file is truncated or of another program: EOF while parsing a value at line 1 column 0",
+            "state file is truncated or malformed: EOF while parsing a value at line 1 column 0",
+        ),
+        (
+            r#"{"withheld":[]}"#,
+            "file was not written by this program: 'applewall_state' is missing",
         ),
-        (r#"{"withheld":[]}"#, "the state file is of another program: it has no 'applewall_state'"),
         (
             r#"{"applewall_state":2,"withheld":[]}"#,
-            "the state file has version 2; the newest that this program reads is 1",
+            "state file has version 2, this program reads versions up to 1",
         ),
         (
             r#"{"applewall_state":1}"#,
-            "the state file is truncated or of another program: missing field `withheld`",
+            "state file is truncated or malformed: missing field `withheld`",
         ),
         (
             r#"{"applewall_state":1,"withheld":7}"#,
-            "the state file is truncated or of another program: invalid type: integer `7`, expected a sequence",
+            "state file is truncated or malformed: invalid type: integer `7`, expected a sequence",
         ),
     ];
     wrong.iter().for_each(|(text, why)| {
@@ -173,7 +176,8 @@
     let head = |head: &str| [head.as_bytes(), &bytes[18..]].concat();
     let mut flipped = bytes.clone();
     flipped[100] ^= 1;
-    let torn = "snapshot is incomplete or changed: its length or checksum differs from its header";
+    let torn =
+        "snapshot is truncated or corrupted: its length or checksum does not match its header";
     for (bytes, why) in [
         (&bytes[..bytes.len() - 1], torn),
         (&flipped, torn),
@@ -187,11 +191,11 @@
         ),
         (
             &head("applewall-roster 2"),
-            "snapshot has version 2, this program reads 1",
+            "snapshot has version 2, this program reads version 1",
         ),
         (
             &head("applewall-roster 0"),
-            "snapshot has version 0, this program reads 1",
+            "snapshot has version 0, this program reads version 1",
         ),
     ] {
         assert_eq!(refusal(bytes, &LIMITS), why);
@@ -211,7 +215,7 @@
     };
     assert_eq!(
         at(1_700_010_000_000, None),
-        "snapshot is 9999 s old, allowed are 3600 s"
+        "snapshot is 9999 s old, the maximum is 3600 s"
     );
     assert_eq!(
         at(1_699_999_000_000, None),
@@ -219,7 +223,7 @@
     );
     assert_eq!(
         at(LIMITS.now_ms, Some(8)),
-        "snapshot is of cluster feed000000000001, expected 8"
+        "snapshot is from cluster feed000000000001, expected 8"
     );
 }
 
