--- a/src/daemon/engine/admin_commands.rs
+++ b/src/daemon/engine/admin_commands.rs
@@ -1,8 +1,7 @@
-//! Admin commands that the engine carries out: endpoints put into maintenance and returned to service, and the state
-//! that a hot restart transfers.
+//! Admin commands that the engine carries out: maintenance of endpoints and the state transferred in a hot restart.
 //!
-//! Owner: the engine. Input: commands of the admin listener. Output: one reply a command. Invariant: a reply is sent
-//! once the policy and the connection pool have both applied the change.
+//! Each command gets one reply. The reply to a maintenance command is sent after both the policy and the connection pool
+//! have applied the change.
 
 use applewall::api::{EndpointUpdateKind, Event};
 
@@ -18,7 +17,7 @@
             ControlMessage::SetMaintenance(command) => self.change_maintenance(command),
             ControlMessage::ExportState(reply) => {
                 self.gossip_handed_over = true;
-                // Fails where hot restart no longer waits for the state; it then sends `ResumeOwnership`.
+                // Fails if hot restart no longer waits for the state; it then sends `ResumeOwnership`.
                 let _ = reply.send(self.export_state());
             }
             ControlMessage::ResumeOwnership => {
@@ -28,7 +27,7 @@
         }
     }
 
-    /// Everything that another process needs to go on from here.
+    /// Collects the state that the successor process continues from.
     fn export_state(&mut self) -> Result<TransferredState, ExportError> {
         let policy_state = self.policy.export_snapshot()?;
         let (maintenance, endpoints) = match &self.maintenance {
@@ -48,7 +47,7 @@
         })
     }
 
-    /// Puts an endpoint into maintenance, or returns it to service.
+    /// Puts an endpoint into maintenance or returns it to service.
     fn change_maintenance(&mut self, command: MaintenanceRequest) {
         let MaintenanceRequest {
             id,
@@ -68,11 +67,11 @@
                 MaintenanceChange::Leave => self.return_to_service(entry),
             }
         }
-        // Fails where the caller has disconnected; the command is carried out nonetheless.
+        // Fails if the caller has disconnected; the command has been carried out.
         let _ = reply.send((outcome.answer, ids));
     }
 
-    /// Has pool and policy send nothing more to an endpoint.
+    /// Stops sending requests to an endpoint.
     fn enter_maintenance(&mut self, entry: EndpointEntry, none_in_service: bool) {
         let endpoint = entry.endpoint.clone();
         tracing::info!(endpoint = %endpoint.id, "endpoint in maintenance");
@@ -86,7 +85,7 @@
         }
     }
 
-    /// Has pool and policy use an endpoint again, like one that has just started.
+    /// Resumes sending requests to an endpoint, which the policy treats as just started.
     fn return_to_service(&mut self, entry: EndpointEntry) {
         let endpoint = entry.endpoint.clone();
         tracing::info!(endpoint = %endpoint.id, "endpoint returned to service");
--- a/src/daemon/engine/attempts.rs
+++ b/src/daemon/engine/attempts.rs
@@ -1,9 +1,8 @@
-//! Starts the attempts that the decision policy decides on: checks that one may start, prepares it, has the connection pool
-//! start it, and records it.
+//! Starts the attempts that the decision policy requests.
 //!
-//! Owner: the engine. Input: the policy's decision to start an attempt. Output: an attempt in flight, or an event for the
-//! policy that it was not sent. Invariants: whatever the policy decides, a request has one attempt in flight at most, no more
-//! attempts than the settings allow, and none after its deadline.
+//! The send rule is checked before the connection pool starts an attempt. Regardless of the policy's decisions, a request
+//! has at most one attempt in flight, no more attempts than the settings allow, and no attempt after its deadline. The policy
+//! is notified of an attempt that could not be started by a result with the outcome "not sent".
 
 use applewall::api::{EndpointId, Event, Idempotency, Outcome, PolicySettings, RequestId};
 
@@ -16,16 +15,16 @@
 use crate::upstream::attempt::Attempt;
 use crate::upstream::deadlines::AttemptDeadlines;
 
-/// Time before the client's deadline by which an attempt ends: its response still has to reach the client.
+/// An attempt ends this long before the client's deadline, so that its response can still reach the client.
 const ATTEMPT_MARGIN_NS: u64 = 20_000_000;
-/// The first byte of an attempt that repeats a possibly executed one is written within this fraction of the endpoints'
-/// deduplication window, as numerator and denominator: the rest of the window is for its way to the endpoint.
+/// Numerator of the fraction of the endpoints' deduplication window within which the first byte of a retry of a possibly
+/// executed attempt is written. The rest of the window allows for transmission to the endpoint.
 const USABLE_WINDOW_NUMERATOR: u64 = 19;
-/// See [`USABLE_WINDOW_NUMERATOR`].
+/// Denominator of the fraction; see [`USABLE_WINDOW_NUMERATOR`].
 const USABLE_WINDOW_DENOMINATOR: u64 = 20;
 
 impl Engine {
-    /// Starts an attempt. Where it may not start, or no connection may be opened for it, the policy learns that it was not
+    /// Starts an attempt. If the send rule refuses it or no connection is available, it is reported to the policy as not
     /// sent.
     pub(super) fn start_attempt(
         &mut self,
@@ -60,14 +59,15 @@
         pending.attempt_started(number, self.now, cancel);
     }
 
-    /// Reports an attempt that was not started. The policy handles that event after the actions that it has just returned.
+    /// Reports an attempt that was not started. The policy receives the event after the remaining actions of the current
+    /// event have been performed.
     fn report_not_sent(&mut self, request: RequestId, attempt: u32, endpoint: EndpointId) {
         let result = self.attempt_result(request, attempt, endpoint, Outcome::NotSent);
         self.follow_up_events
             .push_back(Event::AttemptFinished(result));
     }
 
-    /// Cancels an attempt that is in flight; it still reports how it ended.
+    /// Cancels an attempt in flight, which still reports its outcome.
     pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: u32) {
         if let Some(pending) = self.pending.get_mut(&request) {
             pending.cancel_attempt(attempt);
@@ -75,18 +75,19 @@
     }
 }
 
-/// The instants that bound one attempt, on the engine's clock.
+/// Deadlines of one attempt, on the engine's clock.
 struct AttemptTimes {
-    /// By when its response has to be there.
+    /// Deadline for the attempt's response.
     response_by_ns: u64,
-    /// By when the response of the request's last attempt has to be there.
+    /// Deadline for the response of the last attempt of the request.
     last_response_by_ns: u64,
-    /// By when its first byte has to be written, where it repeats a possibly executed one.
+    /// Deadline for the first byte of the request, if an earlier attempt may have been executed.
     first_byte_by_ns: Option<u64>,
 }
 
 impl AttemptTimes {
-    /// The times of an attempt that starts now. Without a timeout it may last until the client's deadline, less the margin.
+    /// Computes the deadlines of an attempt that starts now. Without a timeout it may take until the client's deadline, less
+    /// the margin.
     fn new(
         now: u64,
         timeout_ns: Option<u64>,
@@ -104,8 +105,7 @@
         }
     }
 
-    /// The same instants on the system's clock. Where another attempt may follow, that one would have to end by the last
-    /// instant for a response.
+    /// Converts the deadlines to the system's clock. If a retry is allowed, its deadline is that of the request's last attempt.
     fn deadlines(&self, clock: &Clock, facts: &StartFacts) -> AttemptDeadlines {
         AttemptDeadlines {
             response_by: clock.instant(self.response_by_ns),
@@ -117,8 +117,9 @@
     }
 }
 
-/// By when the first byte of the next attempt has to be written. A request that may have been executed is repeated only while
-/// endpoints still recognize its key, and the attempt's connection may take long to establish.
+/// Deadline for the first byte of the next attempt. A request that may have been executed is retried only while endpoints
+/// still recognize its key. Establishing the connection may take long, so the deadline applies to the first byte rather than
+/// to the start of the attempt.
 fn first_byte_by_ns(pending: &PendingRequest, idempotency: Idempotency) -> Option<u64> {
     let first_possibly_executed_at_ns = pending.first_possibly_executed_at_ns?;
     let Idempotency::IdempotencyKey {
@@ -133,7 +134,7 @@
     Some(first_possibly_executed_at_ns + usable_window_ns)
 }
 
-/// What the send rule decides on.
+/// Collects the input of the send rule.
 fn start_facts(
     pending: &PendingRequest,
     number: u32,
@@ -151,7 +152,7 @@
     }
 }
 
-/// Whether an attempt may start; a refusal is counted.
+/// Checks whether an attempt may start, and counts and logs a refusal.
 fn may_start(request: RequestId, facts: &StartFacts) -> bool {
     match send_rule::check_start(facts) {
         Ok(()) => true,
--- a/src/daemon/engine/effects.rs
+++ b/src/daemon/engine/effects.rs
@@ -1,7 +1,6 @@
-//! Carries out the actions that the decision policy answers an event with.
+//! Performs the actions that the decision policy returns for an event.
 //!
-//! Owner: the engine. Input: events for the policy. Output: attempts, responses, timers and datagrams. Invariant: events that
-//! follow from carrying out actions are handled in order, after the actions of the event before.
+//! Events caused by performing actions are queued, and handled in order after the actions of the current event.
 
 use applewall::api::{Action, Event, LogEvent, NodeId, RequestId};
 use hyper::StatusCode;
@@ -11,7 +10,7 @@
 use crate::server::response::ClientResponse;
 
 impl Engine {
-    /// Gives an event to the policy and carries out what follows from it.
+    /// Passes an event to the policy, then performs the returned actions and handles the events caused by them.
     pub(super) fn handle_event(&mut self, event: Event) {
         self.follow_up_events.push_back(event);
         let mut actions = std::mem::take(&mut self.actions);
@@ -22,7 +21,7 @@
         self.actions = actions;
     }
 
-    /// Carries out one action.
+    /// Performs one action.
     pub(super) fn perform(&mut self, action: Action) {
         match action {
             Action::StartAttempt {
@@ -41,12 +40,13 @@
                 .schedule(self.now + after_ns, Timer::Policy(token)),
             Action::SendGossip { peer, text } => self.send_gossip(peer, &text),
             Action::Log(event) => log(&event),
-            // Discovery watches the endpoint list from the process's start on.
+            // Discovery has been watching the endpoint list since the process started.
             Action::WatchEndpoints => {}
         }
     }
 
-    /// Rejects a request: 503 where the policy had decided on an attempt, even one that could not be sent, else 429.
+    /// Rejects a request: with 503 if the policy had decided on an attempt, even one that could not be sent, otherwise with
+    /// 429.
     fn reject(&mut self, request: RequestId, retry_after_ns: Option<u64>) {
         let is_attempted = self
             .pending
@@ -66,7 +66,7 @@
         );
     }
 
-    /// Fails a request whose attempts got no usable response.
+    /// Fails a request none of whose attempts got a usable response.
     fn fail(&mut self, request: RequestId) {
         self.respond(
             request,
@@ -77,7 +77,7 @@
         );
     }
 
-    /// Sends a datagram to one peer, or to all, unless another process of this node sends them.
+    /// Sends a datagram to one peer, or to all of them, unless another process of this node has taken over gossip.
     fn send_gossip(&self, peer: Option<NodeId>, text: &str) {
         if let Some(peers) = self.peers.as_deref().filter(|_| !self.gossip_handed_over) {
             peers.send(peer, text);
@@ -95,7 +95,7 @@
         } => tracing::info!(
             filter,
             load_index,
-            // One digit after the point is as precise as the estimate.
+            // The estimate is not more precise than one decimal place.
             focal_rate_per_second = (focal_rate * 10.0).round() / 10.0,
             "load ladder changed its filter"
         ),
--- a/src/daemon/engine/message.rs
+++ b/src/daemon/engine/message.rs
@@ -1,8 +1,6 @@
-//! The messages that reach the engine through its queue.
+//! Messages in the engine's queue, from the server, the connection pool, discovery and the peer socket.
 //!
-//! Owner: whoever sends a message gives it up; the engine owns it from then on. Input: what the server, the upstream
-//! pool, discovery and the peer socket observed. Output: none. Invariant: this module knows neither the senders nor the
-//! engine, so that imports run one way.
+//! This module depends neither on the senders nor on the engine, which avoids import cycles.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Weak};
@@ -17,31 +15,31 @@
 use crate::server::client_socket::ClientSocket;
 use crate::server::response::{ClientResponse, ServedResponse};
 
-/// What the engine takes from its queue.
+/// A message to the engine.
 pub(crate) enum Message {
-    /// A client's request was read completely.
+    /// A client's request has been received completely.
     Request(ClientRequest),
-    /// A client no longer waits for its response.
+    /// A client has disconnected before its response.
     ClientDisconnected(ClientDisconnected),
-    /// An attempt at an endpoint ended.
+    /// An attempt has ended.
     AttemptEnded(AttemptEnded),
-    /// Discovery changed the endpoint list.
+    /// The endpoint list has changed.
     EndpointUpdate(EndpointUpdate),
-    /// A datagram of a peer arrived.
+    /// A datagram from a peer has arrived.
     PeerDatagram(PeerDatagram),
 }
 
-/// A client's request on its way to the engine.
+/// A client's request.
 pub(crate) struct ClientRequest {
     /// The request in the decision policy's terms.
     pub request: api::Request,
-    /// Distinguishes this request from another one that a client gave the same id.
+    /// Distinguishes this request from others with the same client-supplied id.
     pub serial: u64,
-    /// When the client gives up.
+    /// The client's deadline.
     pub deadline: Instant,
-    /// What is forwarded to an endpoint.
+    /// The part forwarded to endpoints.
     pub forwarded: Arc<ForwardedRequest>,
-    /// Takes the one final response.
+    /// Receives the final response.
     pub responder: oneshot::Sender<ClientResponse>,
 }
 
@@ -51,25 +49,25 @@
     pub method: Method,
     /// Path and query.
     pub target: Uri,
-    /// The Host header, where there is one.
+    /// The Host header, if any.
     pub host: Option<HeaderValue>,
     /// The X-Correlation-Id header.
     pub correlation_id: HeaderValue,
-    /// The Content-Type header, where there is one.
+    /// The Content-Type header, if any.
     pub content_type: Option<HeaderValue>,
-    /// The Idempotency-Key header, where there is one.
+    /// The Idempotency-Key header, if any.
     pub idempotency_key: Option<HeaderValue>,
     /// The complete body.
     pub body: Bytes,
-    /// Permits for the body's bytes, returned when the request is dropped; `None` for an empty body.
+    /// Semaphore permits for the body's memory, released when the request is dropped; `None` for an empty body.
     pub _body_permit: Option<OwnedSemaphorePermit>,
-    /// Whether the client still waits for the response.
+    /// Shows whether the client still waits for the response.
     pub client: ClientPresence,
 }
 
 impl ForwardedRequest {
-    /// True once the client has disconnected, or has its response. This is state, not a message, so it can be neither late
-    /// nor lost: it is checked right before the request is forwarded.
+    /// True once the client has disconnected or has its response. Checked right before the request is forwarded: unlike
+    /// [`Message::ClientDisconnected`], this shared state is never delayed or lost in a full queue.
     pub(crate) fn client_disconnected(&self) -> bool {
         !self.client.is_waiting()
     }
@@ -77,16 +75,16 @@
 
 /// Whether a client still waits for its response.
 pub(crate) struct ClientPresence {
-    /// Alive for as long as the request service awaits the response.
+    /// Can be upgraded for as long as the request service awaits the response.
     pub waiting: Weak<()>,
-    /// The client's socket: the kernel may know of its end before the service does.
+    /// The client's socket: the kernel may report a disconnect before the service notices it.
     pub socket: Arc<ClientSocket>,
 }
 
 impl ClientPresence {
-    /// A client that is known by its request service alone.
+    /// Tracks a client by its request service alone, without a socket.
     #[cfg(test)]
-    pub(crate) fn of_service(waiting: Weak<()>) -> Self {
+    pub(crate) fn from_service(waiting: Weak<()>) -> Self {
         ClientPresence {
             waiting,
             socket: Arc::default(),
@@ -94,56 +92,56 @@
     }
 
     fn is_waiting(&self) -> bool {
-        self.waiting.strong_count() > 0 && !self.socket.has_ended()
+        self.waiting.strong_count() > 0 && !self.socket.is_closed()
     }
 }
 
-/// A client no longer waits for its response.
+/// Notifies the engine that a client has disconnected before its response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClientDisconnected {
-    /// The id that the client gave its request.
+    /// The client-supplied request id.
     pub request: RequestId,
-    /// The serial of [`ClientRequest`].
+    /// See [`ClientRequest::serial`].
     pub serial: u64,
 }
 
-/// How an attempt ended; its connection is idle or closed by now.
+/// The result of an attempt, whose connection has been closed or returned to the pool, unless the response is streaming.
 #[derive(Debug)]
 pub(crate) struct AttemptEnded {
-    /// The request that the attempt was made for.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// The attempt's number within its request, from 0.
     pub attempt: u32,
-    /// The endpoint that it was made at.
+    /// The endpoint that it was sent to.
     pub endpoint: EndpointId,
-    /// What the attempt proves about the request's execution.
+    /// The outcome, which tells whether the request may have been executed.
     pub outcome: Outcome,
     /// Time from the attempt's start to its outcome.
     pub latency: Duration,
-    /// The endpoint's load report in the order of the settings; empty where there is none.
+    /// The values of the endpoint's load report, in the order of the settings; empty if there is none.
     pub load_report: Vec<f64>,
-    /// The response, where the request was served.
+    /// The response, if the request was served.
     pub response: Option<ServedResponse>,
 }
 
 /// A change of the endpoint list.
 pub(crate) struct EndpointUpdate {
-    /// Whether the entries are a complete list or changes to it.
+    /// Whether the entries are a complete list or a delta.
     pub kind: EndpointUpdateKind,
-    /// The endpoints that are listed or changed.
+    /// The listed or changed endpoints.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// One endpoint as discovery lists it.
+/// An endpoint as listed by discovery.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointEntry {
     /// The endpoint in the decision policy's terms.
     pub endpoint: Endpoint,
-    /// Where it accepts connections.
+    /// The address on which it accepts connections.
     pub address: SocketAddr,
 }
 
-/// A datagram of a peer that the configuration names.
+/// A datagram from a configured peer.
 pub(crate) struct PeerDatagram {
     /// The sender.
     pub from: NodeId,
--- a/src/daemon/engine/mod.rs
+++ b/src/daemon/engine/mod.rs
@@ -1,9 +1,8 @@
-//! The event loop that owns the decision policy, its timers and all pending requests.
+//! The engine: the event loop that owns the decision policy, its timers and all pending requests.
 //!
-//! Owner: one task, started by `serve`. Input: [`Message`]s and admin commands, each through a queue, and the engine's
-//! own timers. Output: attempts at upstream endpoints, responses to clients, datagrams to peers. Invariants: the engine
-//! waits for nothing but its queues and timers, so whoever waits for capacity in the queue gets it; a request has one
-//! attempt in flight at most and gets one response.
+//! The engine runs in one task. It receives [`Message`]s and admin commands through queues, starts attempts at endpoints,
+//! sends responses to clients and sends datagrams to peers. It awaits nothing but its queues and timers, so senders that wait
+//! for queue capacity always make progress. A request has at most one attempt in flight and gets exactly one response.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -40,45 +39,45 @@
 use statistics::Statistics;
 use timers::{Due, Timer, Timers};
 
-/// Bounds the messages that are handled before timers are checked again, and with them how late a timer is.
+/// Maximum number of messages handled before timers are checked again, which bounds the delay of timers.
 const MAX_BATCH: usize = 128;
-/// How late the engine may wake up before that counts as a stall of the process.
+/// A wake-up later than this counts as a stall of the process.
 const STALL_THRESHOLD_NS: u64 = 30_000_000;
-/// Prefetched response bodies may take the configured memory divided by this.
+/// Fraction of the configured memory available to prefetched response bodies, as a divisor.
 const PREFETCH_MEMORY_DIVISOR: usize = 8;
 
-/// What a new engine starts from.
+/// The state that a new engine starts with.
 pub(crate) enum InitialState {
-    /// There is no admin address, so no maintenance set either.
+    /// No admin address is configured, so there is no maintenance set.
     WithoutAdmin,
-    /// The maintenance set as it was last known.
+    /// The last known maintenance set.
     Maintenance(MaintenanceSet),
-    /// The state that the predecessor process transferred.
+    /// The state transferred by the predecessor process.
     HotRestart(TransferredState),
 }
 
-/// What the engine is made from.
+/// Dependencies of the engine.
 pub(crate) struct Dependencies {
-    /// The clock of all moments that the engine and the policy see.
+    /// The clock of the engine and the policy.
     pub clock: Clock,
-    /// Where datagrams to peers are sent, if there are peers.
+    /// The socket for datagrams to peers, if there are peers.
     pub peers: Option<Arc<PeerSocket>>,
-    /// Slow-peer protection, for upstream responses.
+    /// Slow-peer protection for upstream responses.
     pub monitors: TransferMonitors,
-    /// The engine's own queue: attempts report to it.
+    /// The engine's own queue, to which attempts report.
     pub queue: mpsc::Sender<Message>,
-    /// What the engine starts from.
+    /// The state to start with.
     pub initial_state: InitialState,
-    /// Zone failover, where the operator enabled it.
+    /// Zone failover, if the operator enabled it.
     pub zones: Option<ZoneFailover>,
 }
 
-/// A period in which the process did not run. Requests that are read right after it may have waited in the kernel.
+/// A period in which the process did not run. Requests read right after it may have waited in the kernel meanwhile.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct ClockStall {
-    /// How long the process did not run; a client's time went on.
+    /// Length of the stall, during which the deadlines of clients came closer.
     lost_ns: u64,
-    /// Requests that are accepted until then may have waited for that long.
+    /// Requests accepted until this time may have waited for the whole stall.
     applies_until_ns: u64,
 }
 
@@ -91,24 +90,24 @@
     peers: Option<Arc<PeerSocket>>,
     pending: HashMap<RequestId, PendingRequest>,
     timers: Timers,
-    /// Events that follow from carrying out actions; handled before the next message.
+    /// Events caused by performing actions, handled before the next message.
     follow_up_events: VecDeque<Event>,
-    /// Empty between events; reused for its capacity.
+    /// Buffer for the policy's actions; empty between events, kept to reuse its allocation.
     actions: Vec<Action>,
     now: u64,
     stall: ClockStall,
     statistics: Statistics,
     monitors: TransferMonitors,
-    /// `None` where there is no admin address.
+    /// `None` if there is no admin address.
     maintenance: Option<MaintenanceFilter>,
-    /// `None` where the operator did not enable zone failover.
+    /// `None` if the operator did not enable zone failover.
     zones: Option<ZoneFailover>,
-    /// True once another process of this node sends the datagrams to peers.
+    /// True while another process of this node sends the datagrams to peers.
     gossip_handed_over: bool,
 }
 
 impl Engine {
-    /// An engine that has decided from the known endpoint list alone.
+    /// Creates an engine and applies the known endpoint list.
     pub(crate) fn new(config: &PlatformConfig, dependencies: Dependencies) -> Self {
         let Dependencies {
             clock,
@@ -153,7 +152,7 @@
         engine
     }
 
-    /// Restores the initial state; returns the endpoint list to start with.
+    /// Restores the initial state and returns the endpoint list to start with.
     fn restore(
         &mut self,
         config: &PlatformConfig,
@@ -170,7 +169,7 @@
             InitialState::HotRestart(state) => {
                 self.maintenance = Some(MaintenanceFilter::new(state.maintenance));
                 if let Err(error) = self.policy.import_snapshot(&state.policy_state) {
-                    tracing::warn!(%error, "transferred state of the decision policy not usable");
+                    tracing::warn!(%error, "cannot import the transferred state of the decision policy");
                 }
                 let entry = |(endpoint, address)| EndpointEntry { endpoint, address };
                 state.endpoints.into_iter().map(entry).collect()
@@ -178,7 +177,7 @@
         }
     }
 
-    /// Runs for as long as anything can reach the engine.
+    /// Runs until all senders of messages have been dropped.
     pub(crate) async fn run(
         mut self,
         mut messages: mpsc::Receiver<Message>,
@@ -195,7 +194,8 @@
             }
             tokio::select! {
                 biased;
-                // Before messages: an admin command has to be answered within a second, however full the queue is.
+                // Polled before messages: an admin command has to be answered within one second even if the message queue
+                // is full.
                 Some(command) = admin_commands.recv() => {
                     self.advance_to(self.clock.now(), due);
                     self.handle_admin_command(command);
@@ -203,7 +203,7 @@
                 taken = messages.recv_many(&mut batch, MAX_BATCH) => if taken == 0 { return },
                 () = &mut sleep => {}
             }
-            // One instant for the batch: messages that waited in the queue together count as arrived together.
+            // Messages that waited in the queue together are handled with the same time stamp.
             self.advance_to(self.clock.now(), due);
             batch
                 .drain(..)
@@ -215,10 +215,11 @@
         }
     }
 
-    /// Handles what is reported of attempts before any last resort. An attempt ends before its request's last resort is due;
-    /// after a stall of the process both are past, and its task may not have run yet, or its report may be in the queue.
+    /// Handles reports of attempts before any last-resort response is sent. An attempt normally ends before the last-resort
+    /// response of its request is due. After a stall of the process both may be overdue while the attempt's task has not run
+    /// yet or its report is still queued.
     async fn await_due_reports(&mut self, messages: &mut mpsc::Receiver<Message>) {
-        // Returns after the runtime has polled I/O and timers, and the tasks that these woke.
+        // Returns after the runtime has polled I/O, timers and the tasks that they woke.
         tokio::task::yield_now().await;
         self.now = self.clock.now();
         while let Ok(message) = messages.try_recv() {
@@ -226,8 +227,9 @@
         }
     }
 
-    /// Advances to `now`, where the next timer was due at `due`. If that is long past, the process was stalled: requests that
-    /// are accepted right after may have waited in the kernel for as long, and that time is taken off their deadlines.
+    /// Advances the engine's time to `now`; `due` is when the next timer was due. If that is long past, the process was
+    /// stalled: requests accepted right afterwards may have waited in the kernel, so the length of the stall is subtracted
+    /// from their deadlines.
     fn advance_to(&mut self, now: u64, due: u64) {
         if now.saturating_sub(due) > STALL_THRESHOLD_NS {
             self.stall = ClockStall {
@@ -261,20 +263,20 @@
         self.handle_event(Event::EndpointUpdate(kind, endpoints));
     }
 
-    /// Gives a datagram to zone failover where it is one of its messages, else to the policy.
+    /// Passes a datagram to zone failover if it is a zone message, otherwise to the policy.
     fn handle_peer_datagram(&mut self, datagram: PeerDatagram) {
         let PeerDatagram { from, text } = datagram;
         let now = self.now;
-        let for_zones = self
+        let is_zone_message = self
             .zones
             .as_mut()
             .is_some_and(|zones| zones.receive(now, from, &text));
-        if !for_zones {
+        if !is_zone_message {
             self.handle_event(Event::PeerMessage { from, text });
         }
     }
 
-    /// Handles all timers that are due by now.
+    /// Handles all timers that are due.
     fn expire_timers(&mut self) {
         while let Some(due) = self.timers.next_expired(self.now) {
             match due {
--- a/src/daemon/engine/requests.rs
+++ b/src/daemon/engine/requests.rs
@@ -1,7 +1,6 @@
-//! The lifecycle of a request in the engine: accepted, answered, abandoned, removed.
+//! The lifecycle of a request in the engine, from its arrival to its response or the client's disconnect.
 //!
-//! Owner: the engine. Input: messages of the server and of attempts. Output: the one response to each request, and
-//! events for the policy. Invariants: no response is sent twice; nothing is done for a client that disconnected.
+//! A request gets at most one response, and nothing is sent for a client that has disconnected.
 
 use std::fmt;
 
@@ -13,7 +12,7 @@
 use crate::engine::message::{AttemptEnded, ClientDisconnected, ClientRequest};
 use crate::server::response::ClientResponse;
 
-/// A request's id as its client sent it: 16 hex digits.
+/// Displays a request id as the client sent it: 16 hexadecimal digits.
 pub(super) struct CorrelationId(pub RequestId);
 
 impl fmt::Display for CorrelationId {
@@ -33,22 +32,22 @@
             responder,
         } = request;
         let id = request.id;
-        // The client disconnected while its request waited in the queue.
+        // The client disconnected while the request was queued.
         if forwarded.client_disconnected() {
             self.statistics.disconnected += 1;
             return;
         }
         if self.pending.contains_key(&id) {
-            // An endpoint could not tell attempts of two requests with one id apart.
+            // Endpoints could not distinguish the attempts of two requests with the same id.
             self.statistics.failed += 1;
-            // Fails where the client disconnected meanwhile.
+            // Fails if the client has disconnected meanwhile.
             let _ = responder.send(ClientResponse::Failed {
                 status: StatusCode::CONFLICT,
                 reason: "a command with this id is open",
             });
             return;
         }
-        let waited_ns = self.time_waited_unseen_ns();
+        let waited_ns = self.possible_kernel_wait_ns();
         request.time_left_ns = request.time_left_ns.saturating_sub(waited_ns);
         let pending = PendingRequest {
             serial,
@@ -66,8 +65,8 @@
         self.handle_event(Event::Request(request));
     }
 
-    /// How long a request that is accepted now may have waited in the kernel while the process was stalled.
-    fn time_waited_unseen_ns(&self) -> u64 {
+    /// How long a request accepted now may have waited in the kernel while the process was stalled.
+    fn possible_kernel_wait_ns(&self) -> u64 {
         if self.now <= self.stall.applies_until_ns {
             self.stall.lost_ns
         } else {
@@ -88,7 +87,7 @@
         }
     }
 
-    /// The client needs no response any more.
+    /// Stops processing a request whose client no longer needs a response.
     fn abandon(&mut self, request: RequestId) {
         if let Some(pending) = self.pending.get_mut(&request) {
             pending.responder = None;
@@ -99,8 +98,8 @@
         self.remove_if_finished(request);
     }
 
-    /// Responds to a request that the policy left without a response until shortly before its deadline. That is a fault of
-    /// the policy; it is counted and logged.
+    /// Responds to a request that the policy has left without a response until shortly before its deadline. This is a fault
+    /// of the policy, so it is counted and logged as an error.
     pub(super) fn send_last_resort(&mut self, request: RequestId) {
         self.statistics.last_resort += 1;
         tracing::error!(correlation_id = %CorrelationId(request), "last-resort response sent");
@@ -127,7 +126,7 @@
         let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
-        // A late result of an attempt that ended before is dropped.
+        // Ignore a duplicate report of an attempt that has already ended.
         let Some(in_flight) = pending.take_in_flight(attempt) else {
             return;
         };
@@ -162,15 +161,15 @@
         self.remove_if_finished(request);
     }
 
-    /// True where a client disconnected and the message of that still waits in the queue, or was lost: no further attempt is
-    /// made for it.
+    /// True if the client has disconnected but the message about it is still queued or was lost. No further attempt is made
+    /// for such a client.
     fn client_disconnected_unnoticed(&self, request: RequestId) -> bool {
         self.pending.get(&request).is_some_and(|pending| {
             pending.awaits_response() && pending.forwarded.client_disconnected()
         })
     }
 
-    /// An attempt's result as the policy sees it, without latency and load report.
+    /// Builds the policy's event for the result of an attempt, without latency and load report.
     pub(super) fn attempt_result(
         &self,
         request: RequestId,
@@ -194,7 +193,7 @@
         }
     }
 
-    /// Sends the one response to a request, where it has none yet and its client is connected.
+    /// Sends the response to a request, unless it has one already or its client has disconnected.
     pub(super) fn respond(&mut self, request: RequestId, response: ClientResponse) {
         let Some(pending) = self.pending.get_mut(&request) else {
             return;
@@ -214,12 +213,12 @@
             ClientResponse::Rejected { .. } => self.statistics.rejected += 1,
             ClientResponse::Failed { .. } => self.statistics.failed += 1,
         }
-        // Fails where the client disconnected meanwhile, which its own message reports.
+        // Fails if the client has disconnected meanwhile, which is reported by a message of its own.
         let _ = responder.send(response);
         self.remove_if_finished(request);
     }
 
-    /// Removes a request that needs no response and has no attempt in flight.
+    /// Removes a request if it needs no response and has no attempt in flight.
     fn remove_if_finished(&mut self, request: RequestId) {
         if self
             .pending
--- a/src/daemon/engine/statistics.rs
+++ b/src/daemon/engine/statistics.rs
@@ -1,33 +1,32 @@
-//! What the engine counts, and the log events that report it.
-//!
-//! Owner: the engine. Input: the engine's steps. Output: two log events an interval, each only where it has a count.
+//! The engine's counters, and the two log events that report them at a fixed interval. An event is omitted if there is nothing
+//! to report.
 
 use applewall::decision::RejectionCounts;
 
 use super::Engine;
 use crate::observability::event_counts::{CountedEvent, EventCounts};
 
-/// Counts since the statistics were logged last.
+/// Counters since the statistics were last logged.
 #[derive(Default)]
 pub(super) struct Statistics {
-    /// Requests that reached the engine.
+    /// Requests received.
     pub requests: u64,
-    /// Requests that an endpoint served.
+    /// Requests served by an endpoint.
     pub served: u64,
-    /// Requests that were rejected.
+    /// Requests rejected.
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests whose client disconnected before its response.
+    /// Requests whose client disconnected before the response.
     pub disconnected: u64,
-    /// Attempts that were started.
+    /// Attempts started.
     pub attempts: u64,
-    /// Requests that got the last-resort response.
+    /// Last-resort responses sent.
     pub last_resort: u64,
 }
 
 impl Engine {
-    /// Logs the counts of the last interval, and starts the next one.
+    /// Logs and resets the counters.
     pub(super) fn log_statistics(&mut self) {
         let counts = EventCounts::take();
         let rejections = self.policy.take_rejection_counts();
@@ -61,8 +60,8 @@
     }
 }
 
-/// Logs why connections closed, attempts were not sent and requests were rejected. An event that was not counted has no
-/// field.
+/// Logs the reasons for which connections were closed, attempts not sent and requests rejected. Reasons with a count of zero
+/// are omitted.
 fn log_counts_by_reason(counts: &EventCounts, rejections: &RejectionCounts) {
     let counted = |count: u64| Some(count).filter(|count| *count > 0);
     tracing::info!(
--- a/src/daemon/engine/tests.rs
+++ b/src/daemon/engine/tests.rs
@@ -25,23 +25,23 @@
 use crate::server::response::{ClientResponse, ResponseBody, ServedResponse};
 use crate::server::slow_peers;
 
-/// The id of every request here.
+/// The id of all requests in these tests.
 const ID: RequestId = RequestId(7);
-/// Time until the client of a request gives up.
+/// Time until the client's deadline.
 const TIME_LEFT_NS: u64 = 1_000_000_000;
 
 fn dependencies(queue: mpsc::Sender<Message>, initial_state: InitialState) -> Dependencies {
     Dependencies {
         clock: Clock::start(),
         peers: None,
-        monitors: slow_peers::none(),
+        monitors: slow_peers::disabled(),
         queue,
         initial_state,
         zones: None,
     }
 }
 
-/// An engine, and the queue that its attempts report to.
+/// An engine and the queue to which its attempts report.
 fn engine() -> (Engine, mpsc::Receiver<Message>) {
     let (queue, inbox) = mpsc::channel(8);
     (
@@ -53,7 +53,8 @@
     )
 }
 
-/// Submits a request of a connected client. Its attempt is started, but the attempt's task never runs: nothing is awaited here.
+/// Submits a request of a connected client. Its attempt is started, but the attempt's task does not run, since the test does
+/// not await anything.
 fn submit_request(engine: &mut Engine) -> Receiver<ClientResponse> {
     let response = submit_request_of(engine, Arc::downgrade(&CLIENT));
     assert!(engine.pending[&ID].in_flight.is_some());
@@ -63,7 +64,7 @@
 /// A client that stays connected.
 static CLIENT: LazyLock<Arc<()>> = LazyLock::new(Arc::default);
 
-/// Submits a request of a client that is connected for as long as `client` is alive.
+/// Submits a request of a client that stays connected for as long as `client` is alive.
 fn submit_request_of(engine: &mut Engine, client: Weak<()>) -> Receiver<ClientResponse> {
     let request = Request {
         id: ID,
@@ -84,7 +85,7 @@
         idempotency_key: None,
         body: Bytes::new(),
         _body_permit: None,
-        client: ClientPresence::of_service(client),
+        client: ClientPresence::from_service(client),
     });
     let (responder, response) = oneshot::channel();
     let deadline = engine.clock.instant(engine.now + request.time_left_ns);
@@ -98,7 +99,7 @@
     response
 }
 
-/// The report of an attempt.
+/// The message that reports the end of an attempt.
 fn attempt_ended(number: u32, outcome: Outcome) -> Message {
     let response = (outcome == Outcome::Success).then(|| ServedResponse {
         body: ResponseBody::Buffered("body".into()),
@@ -129,7 +130,7 @@
         })
     ));
     assert_eq!(engine.statistics.last_resort, 1);
-    // The attempt is cancelled, and once that is reported the request is removed.
+    // The attempt has been cancelled. The request is removed once the attempt has reported its end.
     assert!(matches!(
         engine.pending[&ID].in_flight,
         Some(InFlightAttempt {
@@ -200,7 +201,7 @@
     assert_eq!(engine.statistics.attempts, 1);
 }
 
-/// The message queue is full before the engine runs at all; an admin command is still handled first.
+/// Guards against admin commands that wait behind a full message queue: the queue is full before the engine runs at all.
 #[tokio::test]
 async fn admin_command_is_handled_before_a_full_message_queue() {
     let (queue, inbox) = mpsc::channel(ENGINE_QUEUE_CAPACITY);
@@ -212,7 +213,7 @@
             InitialState::Maintenance(MaintenanceSet::default()),
         ),
     );
-    // One endpoint in each message: s-2, s-3 and so on.
+    // Each message adds one endpoint: s-2, s-3 and so on.
     let update = |index: usize| {
         let endpoint = Endpoint {
             id: format!("s-{}", index + 2).into(),
@@ -229,7 +230,7 @@
     };
     (0..ENGINE_QUEUE_CAPACITY).for_each(|index| assert!(queue.try_send(update(index)).is_ok()));
     let (commands, commands_in) = mpsc::channel(1);
-    // The last message lists this endpoint: it is unknown while that message waits.
+    // The last message adds this endpoint, so the command fails if it is handled before that message.
     let (reply, response) = oneshot::channel();
     let id = format!("s-{}", ENGINE_QUEUE_CAPACITY + 1);
     let command = MaintenanceRequest {
@@ -268,7 +269,8 @@
     assert_eq!(engine.statistics.disconnected, 1);
 }
 
-/// The message of the disconnect was lost, as where the queue was full: only the shared state shows it.
+/// Guards against an attempt for a client whose disconnect message was lost in a full queue: only the shared state shows the
+/// disconnect.
 #[tokio::test]
 async fn request_is_not_forwarded_if_its_client_disconnected_in_the_queue() {
     let (mut engine, _inbox) = engine();
@@ -281,7 +283,7 @@
         (engine.statistics.attempts, engine.statistics.disconnected),
         (0, 1)
     );
-    // Neither quota nor id of the request is in use.
+    // Neither the quota nor the id of the first request is still in use.
     let _response = submit_request(&mut engine);
     assert_eq!(engine.statistics.attempts, 1);
 }
@@ -293,14 +295,14 @@
     let _response = submit_request_of(&mut engine, Arc::downgrade(&client));
     assert_eq!(engine.statistics.attempts, 1);
     drop(client);
-    // The attempt was never executed: a retry would follow if the client were connected.
+    // The request was never executed, so it would be retried if the client were still connected.
     engine.handle_message(attempt_ended(0, Outcome::ConnectFailed));
     assert_eq!(
         (engine.statistics.attempts, engine.statistics.disconnected),
         (1, 1)
     );
     assert!(engine.pending.is_empty() && engine.timers.no_last_resorts());
-    // The message of the disconnect arrives late and changes nothing.
+    // A late disconnect message has no effect.
     engine.handle_message(Message::ClientDisconnected(ClientDisconnected {
         request: ID,
         serial: 1,
@@ -308,8 +310,8 @@
     assert_eq!(engine.statistics.disconnected, 1);
 }
 
-/// Attempts are numbered from 0 for each request: the result of the former request with the id must not be taken for one of the
-/// new request.
+/// Guards against attributing the result of an attempt to a later request with the same id: attempts are numbered from 0 for
+/// each request.
 #[tokio::test]
 async fn request_id_is_reusable_only_after_its_former_attempt_ended() {
     let (mut engine, _inbox) = engine();
@@ -318,7 +320,7 @@
         request: ID,
         serial: 1,
     }));
-    // The attempt is cancelled and has not ended.
+    // The attempt has been cancelled but has not ended.
     let mut again = submit_request_of(&mut engine, Arc::downgrade(&CLIENT));
     assert!(matches!(
         again.try_recv(),
@@ -338,14 +340,14 @@
     assert!(matches!(again.try_recv(), Ok(ClientResponse::Served(..))));
 }
 
-/// Stalls the process beyond a request's deadline, so that the end of its attempt and, later, its last resort are due.
+/// Blocks the process until a request's deadline, so that both its attempt's timeout and its last-resort response are overdue.
 async fn stall_beyond(deadline: std::time::Instant) {
     let stall = Duration::from_millis(50);
     tokio::time::sleep_until((deadline - stall).into()).await;
     std::thread::sleep(deadline.saturating_duration_since(std::time::Instant::now()));
 }
 
-/// Guards against a last resort that overtakes the end of an attempt, which was due before it, after a stall.
+/// Guards against a last-resort response that is sent after a stall although the attempt timed out first.
 #[tokio::test]
 async fn attempt_that_times_out_during_a_stall_ends_before_the_last_resort() {
     let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a listener");
@@ -373,11 +375,11 @@
     let (_commands, commands_in) = mpsc::channel(1);
     let engine = tokio::spawn(engine.run(inbox, commands_in));
     stall_beyond(deadline).await;
-    // Wakes the engine before the timer of the attempt.
+    // Wakes the engine before the attempt's timer expires.
     assert!(queue.try_send(update()).is_ok());
     let response = response.await.expect("a response");
     engine.abort();
-    // The policy's own: a rejection after which the client may try again, and not 504.
+    // The policy's response: a rejection that allows a retry, rather than 504.
     assert!(
         matches!(response, ClientResponse::Rejected { .. }),
         "{}",
--- a/src/daemon/engine/timers.rs
+++ b/src/daemon/engine/timers.rs
@@ -1,39 +1,38 @@
-//! All timers of the engine: the policy's, the periodic ones, and the last-resort response of each pending request.
+//! The engine's timers: those set by the policy, periodic ones, and the last-resort response of each pending request.
 //!
-//! Owner: the engine. Input: instants on the engine's clock. Output: the timers that are due. Invariants: timers that are due at the
-//! same moment come out in the order of [`Timer`]'s variants, after last resorts; whatever is due earlier comes out earlier, however
-//! late the timers are looked at; a request has at most one last-resort entry.
+//! Timers expire in the order of their due times, even if they are checked late. At equal due times last-resort responses come
+//! first, then timers in the order of [`Timer`]'s variants. A request has at most one last-resort entry.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
 use applewall::api::RequestId;
 
-/// Interval between sweeps of idle upstream connections: a fraction of any endpoint's idle limit, so that no connection is
-/// reused past it.
+/// Interval of the sweep that closes idle upstream connections. It is a fraction of any endpoint's idle timeout, so that no
+/// connection is reused after the timeout.
 const IDLE_SWEEP_INTERVAL_NS: u64 = 500_000_000;
-/// Interval between the logged statistics.
+/// Interval at which statistics are logged.
 const STATISTICS_INTERVAL_NS: u64 = 10_000_000_000;
 
-/// What a timer is for. The order of the variants is the order in which timers of one moment expire.
+/// A timer's purpose. Timers with equal due times expire in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// Set by the decision policy, with the token that it gave.
+    /// Set by the decision policy, with the policy's token.
     Policy(u64),
-    /// Zone failover evaluates its interval.
+    /// Evaluates zone failover.
     ZoneFailover,
-    /// Idle upstream connections are closed.
+    /// Closes idle upstream connections.
     IdleSweep,
-    /// Statistics are logged.
+    /// Logs statistics.
     Statistics,
 }
 
-/// What is due first.
+/// An expired timer or last-resort response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Due {
-    /// A request gets its last-resort response. It stays scheduled until it is cancelled.
+    /// A request's last-resort response, which stays scheduled until it is cancelled.
     LastResort(RequestId),
-    /// A timer, which is taken out.
+    /// A timer, which has been removed from the schedule.
     Timer(Timer),
 }
 
@@ -43,7 +42,7 @@
     timer: Timer,
 }
 
-/// When a pending request gets its last-resort response.
+/// The due time of a request's last-resort response.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LastResort {
     at: u64,
@@ -57,7 +56,7 @@
 }
 
 impl Timers {
-    /// The periodic timers of an engine that starts at `now`: the first sweep is due at once.
+    /// Schedules the periodic timers of an engine that starts at `now`; the first sweep is due immediately.
     pub(super) fn starting_at(now: u64) -> Self {
         let mut timers = Timers {
             scheduled: BinaryHeap::new(),
@@ -68,7 +67,7 @@
         timers
     }
 
-    /// Adds a timer.
+    /// Schedules a timer.
     pub(super) fn schedule(&mut self, at: u64, timer: Timer) {
         self.scheduled.push(Reverse(ScheduledTimer { at, timer }));
     }
@@ -78,22 +77,22 @@
         self.schedule(now + IDLE_SWEEP_INTERVAL_NS, Timer::IdleSweep);
     }
 
-    /// Schedules the next statistics.
+    /// Schedules the next logging of statistics.
     pub(super) fn schedule_statistics(&mut self, now: u64) {
         self.schedule(now + STATISTICS_INTERVAL_NS, Timer::Statistics);
     }
 
-    /// Adds a request's last-resort response.
+    /// Schedules a request's last-resort response.
     pub(super) fn schedule_last_resort(&mut self, at: u64, request: RequestId) {
         self.last_resorts.insert(LastResort { at, request });
     }
 
-    /// Removes a request's last-resort response, where it is still scheduled.
+    /// Cancels a request's last-resort response, if it is still scheduled.
     pub(super) fn cancel_last_resort(&mut self, at: u64, request: RequestId) {
         self.last_resorts.remove(&LastResort { at, request });
     }
 
-    /// When the next timer is due; the largest instant where none is scheduled.
+    /// When the next timer is due; `u64::MAX` if none is scheduled.
     pub(super) fn next_due(&self) -> u64 {
         let timer = self
             .scheduled
@@ -104,14 +103,14 @@
             .map_or(timer, |last_resort| timer.min(last_resort.at))
     }
 
-    /// True where a request's last-resort response is due.
+    /// True if any request's last-resort response is due.
     pub(super) fn is_last_resort_due(&self, now: u64) -> bool {
         self.last_resorts
             .first()
             .is_some_and(|first| first.at <= now)
     }
 
-    /// What is due first, if anything is due.
+    /// Returns the first expired timer or last-resort response, if any.
     pub(super) fn next_expired(&mut self, now: u64) -> Option<Due> {
         let timer_at = self.scheduled.peek().map(|Reverse(first)| first.at);
         let last_resort = self.last_resorts.first().copied();
@@ -127,7 +126,7 @@
         }
     }
 
-    /// True where no request has a last-resort response scheduled.
+    /// True if no request has a last-resort response scheduled.
     #[cfg(test)]
     pub(super) fn no_last_resorts(&self) -> bool {
         self.last_resorts.is_empty()
--- a/src/daemon/send_rule.rs
+++ b/src/daemon/send_rule.rs
@@ -1,8 +1,8 @@
-//! The one place that decides whether a request may be sent to an endpoint now: when the engine starts an attempt, and again
-//! right before the attempt's first byte, as anything may have happened in between.
+//! Decides whether a request may be sent to an endpoint. The rule is checked when the engine starts an attempt, and again right
+//! before the attempt's first byte, since the situation may have changed while the connection was established.
 //!
-//! Pure: facts in, a verdict out; the caller counts refusals. A refusal at an attempt's start shows a fault of the decision
-//! policy, and prevents that a request is executed twice or after its deadline.
+//! The checks are pure functions; the caller counts refusals. A refusal at the start of an attempt indicates a fault in the
+//! decision policy, and prevents a request from being executed twice or after its deadline.
 
 use std::time::Instant;
 
@@ -13,13 +13,13 @@
 /// Why a request may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendRefusal {
-    /// The request has its final response already.
+    /// The request already has its final response.
     Answered,
     /// Another attempt of the request is in flight.
     AnotherInFlight,
     /// The settings allow no further attempt.
     TooManyAttempts,
-    /// A former attempt may have been executed, and the request is not idempotent.
+    /// An earlier attempt may have been executed, and the request is not idempotent.
     MayHaveExecuted,
     /// The attempt's deadline has passed.
     Expired,
@@ -27,12 +27,12 @@
     Draining,
     /// The client has disconnected.
     ClientDisconnected,
-    /// The endpoints' deduplication window has passed: they may no longer recognize a repeat.
+    /// The endpoints' deduplication window has passed, so they may not recognize the attempt as a retry.
     DeduplicationWindowOver,
 }
 
 impl SendRefusal {
-    /// The event that it is counted as.
+    /// The event as which the refusal is counted.
     pub(crate) fn counted_as(self) -> CountedEvent {
         match self {
             SendRefusal::Draining => CountedEvent::NotSentDraining,
@@ -46,7 +46,8 @@
         }
     }
 
-    /// What the policy learns: nothing about the endpoint, and whether to try another one.
+    /// The outcome reported to the policy. It is no evidence about the endpoint; only a draining endpoint allows a retry at
+    /// another one.
     pub(crate) fn outcome(self) -> Outcome {
         match self {
             SendRefusal::Draining => Outcome::NotSentRetryable,
@@ -55,33 +56,33 @@
     }
 }
 
-/// What the engine knows when an attempt is to start.
+/// Input of the check at the start of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StartFacts {
     /// The request has no final response yet.
     pub awaits_response: bool,
     /// Another attempt of the request is in flight.
     pub has_attempt_in_flight: bool,
-    /// A former attempt may have been executed.
+    /// An earlier attempt may have been executed.
     pub may_have_executed: bool,
-    /// Whether the request may be executed again.
+    /// Whether the request may be executed more than once.
     pub idempotency: Idempotency,
-    /// The number of the attempt within its request, from 0.
+    /// The attempt's number within its request, from 0.
     pub number: u32,
-    /// How many attempts the settings allow for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// The attempt's deadline is ahead.
+    /// The attempt's deadline has not passed.
     pub has_time_left: bool,
 }
 
 impl StartFacts {
-    /// True where the settings allow another attempt after this one.
+    /// True if another attempt is allowed after this one.
     pub(crate) fn allows_retry(&self) -> bool {
         self.number + 1 < self.max_attempts
     }
 }
 
-/// Whether an attempt may start.
+/// Checks whether an attempt may start.
 pub(crate) fn check_start(facts: &StartFacts) -> Result<(), SendRefusal> {
     let is_non_idempotent = facts.idempotency == Idempotency::NonIdempotent;
     let refusals = [
@@ -100,14 +101,14 @@
     first_refusal(&refusals)
 }
 
-/// What an attempt knows right before its first byte.
+/// Input of the check right before the first byte of an attempt is written.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WriteFacts {
-    /// The present moment.
+    /// The current time.
     pub now: Instant,
-    /// By when the attempt's response has to be there.
+    /// Deadline for the attempt's response.
     pub response_by: Instant,
-    /// By when the first byte of a repeat has to be written.
+    /// Deadline for the first byte, if an earlier attempt may have been executed.
     pub first_byte_by: Option<Instant>,
     /// The endpoint is draining.
     pub is_draining: bool,
@@ -115,7 +116,7 @@
     pub client_disconnected: bool,
 }
 
-/// Whether the first byte may be written.
+/// Checks whether the first byte may be written.
 pub(crate) fn check_write(facts: &WriteFacts) -> Result<(), SendRefusal> {
     let window_over = facts
         .first_byte_by
--- a/src/daemon/send_rule/tests.rs
+++ b/src/daemon/send_rule/tests.rs
@@ -52,11 +52,11 @@
     for (change, refusal) in cases {
         assert_eq!(refused(change), Err(refusal));
     }
-    let harmless = refused(|facts| {
+    let idempotent = refused(|facts| {
         facts.may_have_executed = true;
         facts.idempotency = Idempotency::Idempotent;
     });
-    assert_eq!(harmless, Ok(()));
+    assert_eq!(idempotent, Ok(()));
 }
 
 #[test]
@@ -85,7 +85,7 @@
     }
 }
 
-/// Guards against a refusal that passes for an endpoint's response.
+/// Guards against treating a refusal by this node as a result from the endpoint.
 #[test]
 fn no_refusal_is_evidence_about_an_endpoint_and_only_a_drain_is_retried() {
     let refusals = [
--- a/src/daemon/serve/foundation.rs
+++ b/src/daemon/serve/foundation.rs
@@ -81,7 +81,7 @@
 pub(super) struct Foundation {
     /// The configuration; a port 0 is replaced by the port that was bound.
     pub config: PlatformConfig,
-    /// The platform's listening socket (`GW_FD`), where there is one.
+    /// The platform's listening socket (`GW_FD`), if any.
     inherited_socket: Option<OwnedFd>,
     /// For the hot restart and the state writer.
     pub transfer: TransferContext,
@@ -111,7 +111,7 @@
 
 /// The sockets that others reach this node at.
 pub(super) struct Sockets {
-    /// The UDP socket, where there are peers.
+    /// The UDP socket, if there are peers.
     pub peers: Option<Arc<PeerSocket>>,
     /// The clients' listening socket.
     pub listener: TcpListener,
@@ -174,7 +174,7 @@
         Ok(())
     }
 
-    /// Receives the state of the old process, where there is one.
+    /// Receives the state of the old process, if any.
     async fn take_over(&mut self) -> StartingPoint {
         let received = match &self.transfer.shared_directory {
             Some(shared_directory) => hot_restart::receive_transfer(shared_directory).await,
--- a/src/daemon/serve/node.rs
+++ b/src/daemon/serve/node.rs
@@ -43,7 +43,7 @@
     clock: Clock,
     /// The queue to the engine.
     queue: mpsc::Sender<Message>,
-    /// The UDP socket, where there are peers.
+    /// The UDP socket, if there are peers.
     peers: Option<Arc<PeerSocket>>,
     /// The role of this process, and the times of its shutdown.
     pub status: ProcessStatus,
@@ -54,7 +54,7 @@
     client_permits: Arc<Semaphore>,
     /// The revision of the configured endpoint list, if that list is complete.
     known_revision: Option<u64>,
-    /// The schedule of this node's calls to discovery at startup, where the operator enabled it.
+    /// The schedule of this node's calls to discovery at startup, if the operator enabled it.
     schedule: Option<Arc<StartupSchedule>>,
     /// All tasks but the engine's; they are aborted when the node is dropped.
     tasks: JoinSet<()>,
@@ -91,7 +91,7 @@
         (node, role_owner, messages)
     }
 
-    /// Zone failover, where the operator enabled it.
+    /// Zone failover, if the operator enabled it.
     pub(super) fn zone_failover(&self, operator_config: &OperatorConfig) -> Option<ZoneFailover> {
         let config = &self.config;
         let now = self.clock.now();
@@ -161,7 +161,7 @@
         engine
     }
 
-    /// Starts to receive the datagrams of peers, where there are peers.
+    /// Starts to receive the datagrams of peers, if there are peers.
     pub(super) fn start_gossip(&mut self) {
         if let Some(peers) = &self.peers {
             let schedule = self.schedule.clone();
--- a/src/daemon/server/acceptor.rs
+++ b/src/daemon/server/acceptor.rs
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Starts the task of a connection. Nobody joins it: its permit stands for it, `serve` ends once all permits are back
+    /// Starts the task of a connection. Nothing joins it: its permit stands for it, `serve` ends once all permits are back
     /// or the time of the shutdown is over, and what is left then ends with the runtime.
     fn serve_connection(
         &self,
--- a/src/daemon/server/acceptor/tests.rs
+++ b/src/daemon/server/acceptor/tests.rs
@@ -35,7 +35,7 @@
     let dependencies = Dependencies {
         clock: Clock::start(),
         permits,
-        monitors: crate::server::slow_peers::none(),
+        monitors: crate::server::slow_peers::disabled(),
         queue,
         phases,
         has_endpoint_list: watch::channel(true).1,
--- a/src/daemon/server/admission.rs
+++ b/src/daemon/server/admission.rs
@@ -42,7 +42,7 @@
 pub(super) struct AdmittedConnection {
     /// Its entry in the connection table; holds its permit.
     pub connection: Arc<ClientConnection>,
-    /// Its registration with slow-peer protection, where that is on. It refers to the stream's descriptor, so it has to be
+    /// Its registration with slow-peer protection, if that is enabled. It refers to the stream's descriptor, so it has to be
     /// dropped before the stream.
     pub ticket: Option<MonitoredConnection>,
     /// It gets nothing but rejections.
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Registers a new connection with slow-peer protection, where that is on.
+    /// Registers a new connection with slow-peer protection, if that is enabled.
     fn join_monitor(
         &self,
         stream: &TcpStream,
--- a/src/daemon/server/client_socket.rs
+++ b/src/daemon/server/client_socket.rs
@@ -29,8 +29,8 @@
         *self.lock() = None;
     }
 
-    /// True where the client closed or reset its connection; bytes that lie before its end hide that.
-    pub(crate) fn has_ended(&self) -> bool {
+    /// True if the client closed or reset its connection; bytes that lie before its end hide that.
+    pub(crate) fn is_closed(&self) -> bool {
         let descriptor = self.lock();
         let Some(descriptor) = *descriptor else {
             return false;
--- a/src/daemon/server/client_socket/tests.rs
+++ b/src/daemon/server/client_socket/tests.rs
@@ -17,14 +17,14 @@
 async fn end_of_a_client_is_known_before_the_reactor_runs() {
     let (client, stream) = connection().await;
     let socket = ClientSocket::default();
-    assert!(!socket.has_ended(), "no stream yet");
+    assert!(!socket.is_closed(), "no stream yet");
     socket.attach(&stream);
-    assert!(!socket.has_ended(), "open");
+    assert!(!socket.is_closed(), "open");
     drop(client);
-    assert!(socket.has_ended(), "closed");
+    assert!(socket.is_closed(), "closed");
     socket.detach();
     drop(stream);
-    assert!(!socket.has_ended(), "no stream any more");
+    assert!(!socket.is_closed(), "no stream any more");
 }
 
 #[tokio::test]
@@ -33,5 +33,5 @@
     let socket = ClientSocket::default();
     socket.attach(&stream);
     client.write_all(b"GET").expect("open");
-    assert!(!socket.has_ended());
+    assert!(!socket.is_closed());
 }
--- a/src/daemon/server/connection_table.rs
+++ b/src/daemon/server/connection_table.rs
@@ -140,7 +140,7 @@
 
     /// Notifies the connection to close that has awaited a request for longest: one that never began any, else one whose
     /// last request is longest ago. A new connection stays for `grace`: its first request may be on its way, and would get
-    /// no response. False where no connection may be evicted.
+    /// no response. False if no connection may be evicted.
     pub(crate) fn evict_idle(&self, grace: Duration, now: u64) -> bool {
         let mut awaiting = self.lock();
         let is_new = |first: &EvictionCandidate| {
--- a/src/daemon/server/connection_table/client_connection.rs
+++ b/src/daemon/server/connection_table/client_connection.rs
@@ -61,7 +61,7 @@
     pub evicted: Notify,
     /// Notified to close the connection immediately, discarding unwritten output.
     pub aborted: Arc<Notify>,
-    /// `None` where slow-peer protection is off.
+    /// `None` if slow-peer protection is off.
     pub monitored: Option<MonitoredTransfer>,
     _permit: OwnedSemaphorePermit,
 }
@@ -180,7 +180,7 @@
         }
     }
 
-    /// True where some of a head was read, and not its end.
+    /// True if some of a head was read, and not its end.
     pub(crate) fn is_reading_head(&self) -> bool {
         self.reading_head.load(Ordering::Relaxed)
     }
@@ -205,7 +205,7 @@
         self.quarantined.load(Ordering::Relaxed)
     }
 
-    /// True while slow-peer protection sees unsent bytes of a response at this moment of its clock.
+    /// True while slow-peer protection sees unsent bytes of a response at `now` on its clock.
     pub(super) fn is_writing_response(&self, now: u64) -> bool {
         self.monitored
             .as_ref()
--- a/src/daemon/server/connection_task.rs
+++ b/src/daemon/server/connection_task.rs
@@ -76,7 +76,7 @@
 }
 
 /// Closes a connection: after the response that is being written, and with a rejection where some of a request has arrived.
-/// `ended` is how hyper ended the connection; `None` where hyper still serves it.
+/// `ended` is how hyper ended the connection; `None` if hyper still serves it.
 async fn close(
     mut http: HttpConnection,
     connection: &Arc<ClientConnection>,
--- a/src/daemon/server/customer_slot.rs
+++ b/src/daemon/server/customer_slot.rs
@@ -20,7 +20,7 @@
 }
 
 impl<'a> CustomerSlot<'a> {
-    /// Takes a slot for one more request; `None` where slow-peer protection is off, which then sets no limit.
+    /// Takes a slot for one more request; `None` if slow-peer protection is off, which then sets no limit.
     pub(super) fn acquire(
         connection: &'a ClientConnection,
         clock: Clock,
--- a/src/daemon/server/framing.rs
+++ b/src/daemon/server/framing.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// True where something was read behind the last request and is not served.
+    /// True if something was read behind the last request and is not served.
     pub(crate) fn has_pipelined_input(&self) -> bool {
         !self.pipelined.is_empty()
     }
--- a/src/daemon/server/head_scanner.rs
+++ b/src/daemon/server/head_scanner.rs
@@ -23,12 +23,12 @@
 }
 
 impl HeadScanner {
-    /// True where some of a head was read, and not its end.
+    /// True if some of a head was read, and not its end.
     pub(super) fn is_inside_head(&self) -> bool {
         self.inside_head
     }
 
-    /// Takes what was read; true where a head in it has both a length and a transfer coding.
+    /// Takes what was read; true if a head in it has both a length and a transfer coding.
     pub(super) fn finds_ambiguous_head(&mut self, mut bytes: &[u8]) -> bool {
         while !bytes.is_empty() && !self.has_begun_chunked_body {
             if self.body_bytes_left > 0 {
@@ -51,7 +51,7 @@
         false
     }
 
-    /// Evaluates a complete line; true where it makes the head ambiguous.
+    /// Evaluates a complete line; true if it makes the head ambiguous.
     fn end_line(&mut self) -> bool {
         let line = self.line.trim_ascii();
         if line.is_empty() {
--- a/src/daemon/server/request.rs
+++ b/src/daemon/server/request.rs
@@ -173,7 +173,7 @@
         })
     }
 
-    /// True where all values are within the settings, and this node is in the set: otherwise other nodes account for the
+    /// True if all values are within the settings, and this node is in the set: otherwise other nodes account for the
     /// customer's quota.
     fn is_within(&self, settings: &PlatformSettings) -> bool {
         let policy = &settings.policy;
@@ -198,7 +198,7 @@
     }
 }
 
-/// The one value of a header; `None` where it is missing, comes twice or is no text.
+/// The one value of a header; `None` if it is missing, comes twice or is no text.
 fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).into_iter();
     values
--- a/src/daemon/server/response.rs
+++ b/src/daemon/server/response.rs
@@ -30,7 +30,7 @@
 pub(crate) struct ServedResponse {
     /// The body, unchanged.
     pub body: ResponseBody,
-    /// Its Content-Type header, where there is one.
+    /// Its Content-Type header, if any.
     pub content_type: Option<HeaderValue>,
 }
 
--- a/src/daemon/server/response_accounting.rs
+++ b/src/daemon/server/response_accounting.rs
@@ -1,4 +1,4 @@
-//! Accounts for the memory of a response while it waits for its client to read it, where slow-peer protection is on.
+//! Accounts for the memory of a response while it waits for its client to read it, if slow-peer protection is enabled.
 //!
 //! Owner: the request service, right before the response goes to hyper. Input: a response and the connection that it is
 //! written to. Output: the response, or a short one where there is no memory for it. Invariant: a request gets one response,
--- a/src/daemon/server/slow_peers.rs
+++ b/src/daemon/server/slow_peers.rs
@@ -18,7 +18,7 @@
 /// Bounds the resource owners that are logged, each time that statistics are.
 const MAX_LOGGED_OWNERS: usize = 5;
 
-/// The monitor in force; `None` where slow-peer protection is off.
+/// The monitor in force; `None` if slow-peer protection is off.
 pub(crate) type TransferMonitors = watch::Receiver<Option<Arc<TransferMonitor>>>;
 
 /// What a monitor is made from, besides its settings.
@@ -81,7 +81,7 @@
 
 /// Slow-peer protection that is off.
 #[cfg(test)]
-pub(crate) fn none() -> TransferMonitors {
+pub(crate) fn disabled() -> TransferMonitors {
     let (sender, follower) = watch::channel(None);
     std::mem::forget(sender);
     follower
--- a/src/daemon/server/streaming_body.rs
+++ b/src/daemon/server/streaming_body.rs
@@ -45,7 +45,7 @@
 
     /// Marks the body as complete.
     pub(crate) async fn finish(self) {
-        // Fails where the body was dropped, which then needs no end.
+        // Fails if the body was dropped, which then needs no end.
         let _ = self.0.send(Piece::End).await;
     }
 }
@@ -53,7 +53,7 @@
 /// The client's side of a body.
 pub(crate) struct StreamingBody {
     pieces: mpsc::Receiver<Piece>,
-    /// How many bytes are still to come, where the length is known.
+    /// How many bytes are still to come, if the length is known.
     bytes_left: Option<u64>,
     /// The sender was dropped without an end.
     is_broken: bool,
--- a/src/daemon/server/unanswered_input.rs
+++ b/src/daemon/server/unanswered_input.rs
@@ -12,11 +12,11 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// The response to a request that is not read any more, with the Retry-After of the server's other rejections.
+/// The response to a request that is not read any longer, with the Retry-After of the server's other rejections.
 const REJECTION: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 0.200\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
-/// True where bytes of a request arrived that has no response: `is_buffered` ones were read already, others are in the
+/// True if bytes of a request arrived that has no response: `is_buffered` ones were read already, others are in the
 /// kernel's buffer.
 pub(super) fn has_arrived(stream: &TcpStream, is_buffered: bool) -> bool {
     is_buffered || kernel_has_input(stream)
--- a/src/daemon/upstream/attempt.rs
+++ b/src/daemon/upstream/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt at an endpoint: runs its exchange until it is decided, and reports how it ended.
+//! One attempt at an endpoint: runs the exchange until its result is known, and reports the result to the engine.
 //!
-//! Owner: the attempt's own task; there is no second task. Input: an [`Attempt`] and a lease on a connection. Output: one
-//! [`AttemptEnded`]. Invariant: an attempt that is cancelled or times out writes nothing after its report is queued.
+//! Each attempt runs in a single task and sends one [`AttemptEnded`]. An attempt that was cancelled or timed out writes nothing
+//! after its report has been queued.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -20,21 +20,21 @@
 use crate::engine::message::{AttemptEnded, ForwardedRequest, Message};
 use crate::server::response::ServedResponse;
 
-/// An attempt that is to be made.
+/// The parameters of an attempt.
 pub(crate) struct Attempt {
-    /// The request that it is made for.
+    /// The request that it belongs to.
     pub request: RequestId,
     /// Its number within the request, from 0.
     pub number: u32,
-    /// The endpoint that it is made at.
+    /// The endpoint that it is sent to.
     pub endpoint: EndpointId,
-    /// What is sent.
+    /// The request to send.
     pub forwarded: Arc<ForwardedRequest>,
-    /// The instants that bound it.
+    /// Its deadlines.
     pub deadlines: AttemptDeadlines,
 }
 
-/// Makes an attempt and reports how it ended. No `async fn`: its future would hold its arguments twice.
+/// Runs an attempt and reports its result. Not an `async fn`, whose future would store the arguments twice.
 pub(super) fn run(
     context: AttemptContext,
     attempt: Attempt,
@@ -50,20 +50,21 @@
     } = attempt;
     async move {
         let started = Instant::now();
-        let (begin, mut begun) = oneshot::channel();
+        let (stream_start, mut stream_started) = oneshot::channel();
         let exchange = Exchange {
             context: &context,
             forwarded: &forwarded,
             deadlines,
         };
-        let exchange = exchange.run(lease, begin);
+        let exchange = exchange.run(lease, stream_start);
         tokio::pin!(exchange);
         let deadline = deadlines.response_by;
-        let decided = decide(exchange.as_mut(), &mut begun, cancelled, deadline).await;
+        let event =
+            await_deciding_event(exchange.as_mut(), &mut stream_started, cancelled, deadline).await;
         let latency = started.elapsed();
-        let (result, is_streaming) = match decided {
-            Decided::Ended(result) => (result, false),
-            Decided::Streaming(response) => (Ok(response), true),
+        let (result, is_streaming) = match event {
+            DecidingEvent::Ended(result) => (result, false),
+            DecidingEvent::Streaming(response) => (Ok(response), true),
         };
         let evaluation = Evaluation::new(result, &context.load_report_fields);
         let report = context.queue.send(Message::AttemptEnded(AttemptEnded {
@@ -76,49 +77,49 @@
             response: evaluation.response,
         }));
         if is_streaming {
-            // Both at once: the body is forwarded also while the engine's queue is full.
+            // Concurrently, so that the body is forwarded even while the engine's queue is full.
             let _ = tokio::join!(report, exchange);
         } else {
-            // Fails where the engine has ended, and the process with it.
+            // Fails only if the engine has stopped, which ends the process.
             let _ = report.await;
         }
     }
 }
 
-/// How an attempt is decided, as far as the engine is concerned.
-enum Decided {
-    /// The exchange ended, or is abandoned.
+/// The event that determines the result of an attempt.
+enum DecidingEvent {
+    /// The exchange has ended or is abandoned.
     Ended(Result<UpstreamResponse, Outcome>),
-    /// The response has begun; the exchange goes on and forwards the rest of its body.
+    /// The response has stream_started; the exchange continues and forwards the rest of the body.
     Streaming(UpstreamResponse),
 }
 
-/// Waits for the first event that decides an attempt. Unless that is a streaming response, the exchange is not polled
-/// afterwards, and is dropped in the poll in which the report is queued: its connection is closed before the engine sees the
-/// report, so no more of the request is sent. This relies on the runtime's single thread (`serve`).
-async fn decide(
+/// Waits for the first event that determines the result of an attempt. Unless that is a streaming response, the exchange is not
+/// polled afterwards and is dropped in the same poll in which the report is queued. Its connection is therefore closed before
+/// the engine sees the report, and no more of the request is sent. This relies on the single-threaded runtime (`serve`).
+async fn await_deciding_event(
     exchange: Pin<&mut impl Future<Output = Result<UpstreamResponse, Outcome>>>,
-    begun: &mut oneshot::Receiver<UpstreamResponse>,
+    stream_started: &mut oneshot::Receiver<UpstreamResponse>,
     cancelled: oneshot::Receiver<()>,
     deadline: Instant,
-) -> Decided {
+) -> DecidingEvent {
     let result = tokio::select! {
         biased;
         result = exchange => result,
-        // From here on the client paces the response, beyond the attempt's deadline.
-        Ok(response) = &mut *begun => return Decided::Streaming(response),
+        // From here on the client's reading rate determines the duration, so the attempt's deadline no longer applies.
+        Ok(response) = &mut *stream_started => return DecidingEvent::Streaming(response),
         _ = cancelled => Err(Outcome::Cancelled),
         () = tokio::time::sleep_until(deadline.into()) => Err(Outcome::TimedOut),
     };
-    // Where a response began and ended in one poll, the streaming body of the begun one has what was received.
-    Decided::Ended(result.map(|response| begun.try_recv().unwrap_or(response)))
+    // If a response began and ended in one poll, the received data is in the streaming body of the response that began.
+    DecidingEvent::Ended(result.map(|response| stream_started.try_recv().unwrap_or(response)))
 }
 
-/// What the result of an exchange proves about its request, and what of it the engine passes on.
+/// The contents of an attempt's report, derived from the result of its exchange.
 struct Evaluation {
     outcome: Outcome,
     load_report: Vec<f64>,
-    /// The response to the client, where the endpoint served the request.
+    /// The response for the client, if the endpoint served the request.
     response: Option<ServedResponse>,
 }
 
--- a/src/daemon/upstream/body.rs
+++ b/src/daemon/upstream/body.rs
@@ -1,7 +1,6 @@
-//! Reads the body of an endpoint's response: ahead into memory, or piece by piece while it is forwarded.
+//! Reads the body of an endpoint's response, either prefetching it into memory or streaming it to the client.
 //!
-//! Owner: the attempt's exchange. Input: hyper's body. Output: what was read, and whether the body is complete. Invariant: no
-//! more than the longest body that is prefetched is in memory.
+//! At most the maximum prefetch length is held in memory.
 
 use std::time::Duration;
 
@@ -12,25 +11,25 @@
 use crate::resources::limits::MAX_BODY_BYTES;
 use crate::server::streaming_body::BodySender;
 
-/// How long a response of unknown length is read ahead before it is forwarded: most are complete by then.
+/// A response of unknown length is prefetched for this long before it is streamed. Most are complete by then.
 const PREFETCH_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long a response that is forwarded while it is received may make no progress, on either side: bounds how long a silent
-/// endpoint, or a client that stopped reading, can occupy two connections.
+/// A streamed response may make no progress for this long, on either side. Bounds how long a silent endpoint or a client that
+/// has stopped reading can occupy two connections.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The body of an endpoint's response.
 pub(crate) type UpstreamBody = hyper::body::Incoming;
 
-/// What was read ahead of a body.
+/// The prefetched part of a body.
 pub(super) struct Prefetched {
-    /// The bytes that were read.
+    /// The bytes read.
     pub bytes: Bytes,
-    /// True where they are the complete body.
+    /// Whether they are the complete body.
     pub is_complete: bool,
 }
 
 impl Prefetched {
-    /// All of a body.
+    /// A complete body.
     pub(super) fn complete(bytes: Bytes) -> Self {
         Prefetched {
             bytes,
@@ -38,7 +37,7 @@
         }
     }
 
-    /// The beginning of a body, the rest of which is not read ahead.
+    /// The beginning of a body whose rest is not prefetched.
     pub(super) fn partial(bytes: Bytes) -> Self {
         Prefetched {
             bytes,
@@ -47,21 +46,21 @@
     }
 }
 
-/// Reads a body ahead; `None` where it is malformed. A body of unknown length may be a stream whose client needs the first
-/// bytes at once, so it is read ahead for a short time only.
+/// Prefetches a body; `None` if it is malformed. A body of unknown length may be a stream whose first bytes the client needs
+/// immediately, so it is prefetched for a short time only.
 pub(super) async fn prefetch(body: &mut UpstreamBody) -> Option<Prefetched> {
     let mut received = BytesMut::new();
     let timeout = match body.size_hint().exact() {
         Some(_) => Duration::MAX,
         None => PREFETCH_TIMEOUT,
     };
-    let time_is_up = tokio::time::sleep(timeout);
-    tokio::pin!(time_is_up);
+    let prefetch_timeout = tokio::time::sleep(timeout);
+    tokio::pin!(prefetch_timeout);
     loop {
         let frame = tokio::select! {
             biased;
             frame = body.frame() => frame,
-            () = &mut time_is_up, if !received.is_empty() => {
+            () = &mut prefetch_timeout, if !received.is_empty() => {
                 return Some(Prefetched::partial(received.freeze()));
             }
         };
@@ -71,7 +70,7 @@
         let Ok(data) = frame.ok()?.into_data() else {
             continue;
         };
-        // Most bodies are one piece, which is not copied.
+        // Most bodies consist of one frame, which need not be copied.
         if received.is_empty() && body.is_end_stream() {
             return Some(Prefetched::complete(data));
         }
@@ -82,8 +81,8 @@
     }
 }
 
-/// Reads one piece, where the body can't be read ahead; `None` where it is malformed.
-pub(super) async fn first_piece(body: &mut UpstreamBody) -> Option<Prefetched> {
+/// Reads the first chunk of a body that cannot be prefetched; `None` if the body is malformed.
+pub(super) async fn first_chunk(body: &mut UpstreamBody) -> Option<Prefetched> {
     while let Some(frame) = body.frame().await {
         if let Ok(bytes) = frame.ok()?.into_data() {
             let is_complete = body.is_end_stream();
@@ -93,7 +92,7 @@
     Some(Prefetched::complete(Bytes::new()))
 }
 
-/// Forwards the rest of a body; false where the body is malformed, or one of the two sides stalled or closed.
+/// Streams the rest of a body; false if the body is malformed, or if either side stalled or closed its connection.
 pub(super) async fn forward(sender: BodySender, first: Bytes, body: &mut UpstreamBody) -> bool {
     if sender.send(first).await.is_err() {
         return false;
--- a/src/daemon/upstream/connection.rs
+++ b/src/daemon/upstream/connection.rs
@@ -1,8 +1,8 @@
-//! One connection to an endpoint, or to discovery, whose hyper connection is polled by the task that uses it.
+//! A connection to an endpoint or to discovery, whose hyper connection is polled by the task that uses it.
 //!
-//! Owner: the pool while the connection is idle, an attempt while it is in use. Input: a connected stream. Output: bytes
-//! written are counted, and the socket itself is checked before the connection is used again. Invariant: no task of its
-//! own, so dropping a connection closes it immediately.
+//! A connection belongs to the pool while it is idle and to an attempt while it is in use. Bytes written are counted, and the
+//! socket itself is checked before the connection is reused. Since no background task polls it, dropping a connection closes
+//! it immediately.
 
 use std::future::{poll_fn, Future};
 use std::io;
@@ -30,11 +30,11 @@
 use crate::system::counting_io::{CountingIo, IoObserver};
 use crate::system::socket_retry::is_transient;
 
-/// Bounds a response head, and what hyper reads ahead of a body: the buffer of one connection.
+/// Size limit of a connection's read buffer, which bounds a response head and the part of a body that hyper buffers.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Polls a connection together with the work that uses it; `None` if the connection ended before the work, unless
-/// `is_streaming` returns true: what was received until then is then still being forwarded.
+/// Polls a connection together with the work that uses it. Returns `None` if the connection ends before the work, unless
+/// `is_streaming` returns true: the received part of the response is then still being forwarded.
 pub(crate) async fn drive<I, B, F>(
     connection: &mut http1::Connection<I, B>,
     work: F,
@@ -63,22 +63,22 @@
     .await
 }
 
-/// What an attempt shares with the stream of its connection. One task polls both, so relaxed ordering is enough.
+/// State shared by an attempt and the stream of its connection. One task polls both, so relaxed ordering is sufficient.
 #[derive(Default)]
 pub(crate) struct ConnectionWatch {
-    /// Bytes written: the evidence on whether a request can have reached the endpoint.
+    /// Number of bytes written, which shows whether a request may have reached the endpoint.
     pub written: AtomicU64,
-    /// The next read notifies `response_began`.
+    /// Makes the next read notify `response_began`.
     pub notify_on_read: AtomicBool,
-    /// Notified once the first byte of a response was read.
+    /// Notified when the first byte of a response has been read.
     pub response_began: Notify,
-    /// The next read checks the socket itself first.
+    /// Makes the next read check the socket itself first.
     pub check_socket: AtomicBool,
-    /// A response is forwarded while it is still received: it may end after its connection.
+    /// Set while a response is streamed to the client, which may take longer than the connection lasts.
     pub streaming: AtomicBool,
 }
 
-/// The observer of a connection's stream.
+/// Updates the [`ConnectionWatch`] on reads and writes of a connection's stream.
 pub(crate) struct WatchedStream(Arc<ConnectionWatch>);
 
 impl IoObserver for WatchedStream {
@@ -90,8 +90,8 @@
     ) -> Poll<io::Result<()>> {
         let watch = &*self.0;
         if watch.check_socket.swap(false, Ordering::Relaxed) {
-            // The reactor may not know yet of what the kernel has received. On an idle connection that is the end of the
-            // connection, or bytes that belong to no request and would be read as the response to the next one.
+            // The kernel may have received data that the reactor has not noticed yet. On an idle connection that is either the
+            // end of the connection, or bytes that belong to no request and would be read as the response to the next one.
             match SockRef::from(&*stream).peek(&mut [MaybeUninit::uninit()]) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Poll::Ready(Err(error)),
@@ -115,23 +115,23 @@
 
 type Driver = http1::Connection<TokioIo<CountingIo<WatchedStream>>, Full<Bytes>>;
 
-/// A connection to an endpoint. Its permit is returned when it is dropped.
+/// A connection to an endpoint. Dropping it releases its permit.
 pub(crate) struct UpstreamConnection {
     /// Sends requests over the connection.
     pub sender: http1::SendRequest<Full<Bytes>>,
-    /// Boxed: it is large, and moves between the pool and attempts.
+    /// Boxed because it is large and moves between the pool and attempts.
     pub driver: Box<Driver>,
-    /// What the stream counts.
+    /// State shared with the stream.
     pub watch: Arc<ConnectionWatch>,
-    /// The address that it is connected to.
+    /// The remote address.
     pub address: SocketAddr,
-    /// Since when it has been idle.
+    /// Start of the current idle period.
     pub idle_since: Instant,
-    /// Counts it among the pool's connections; returned when the connection is dropped.
+    /// Counts the connection against the pool's limit.
     pub permit: OwnedSemaphorePermit,
 }
 
-/// What a failed connect proves. Where this node is short of sockets, ports or memory it is no evidence about the endpoint.
+/// Classifies a connect error. A shortage of sockets, ports or memory on this node is no evidence about the endpoint.
 pub(super) fn connect_failure(error: &io::Error) -> Outcome {
     let is_local = is_transient(error) || error.kind() == io::ErrorKind::AddrNotAvailable;
     if !is_local {
@@ -142,7 +142,7 @@
 }
 
 impl UpstreamConnection {
-    /// Opens a connection, within `timeout`.
+    /// Opens a connection within `timeout`.
     pub(super) async fn dial(
         address: SocketAddr,
         timeout: Duration,
@@ -152,10 +152,10 @@
         let stream = match connected {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(connect_failure(&error)),
-            // The time is over.
+            // The timeout has expired.
             Err(_) => return Err(Outcome::ConnectFailed),
         };
-        // Without it requests are only slower.
+        // Ignored: without TCP_NODELAY requests are slower, but not wrong.
         let _ = stream.set_nodelay(true);
         let watch = Arc::new(ConnectionWatch::default());
         let stream = CountingIo::new(stream, WatchedStream(watch.clone()));
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Polls the connection once, with a check of the socket itself; false if it can't take a request.
+    /// Polls the connection once and checks the socket itself; false if the connection cannot take a request.
     pub(crate) async fn is_usable(&mut self) -> bool {
         self.watch.check_socket.store(true, Ordering::Relaxed);
         let (sender, driver, watch) = (&mut self.sender, &mut self.driver, &self.watch);
@@ -192,7 +192,7 @@
         .await
     }
 
-    /// Closes the connection and returns its permit.
+    /// Closes the connection and hands its permit to the caller.
     pub(crate) fn close(self) -> OwnedSemaphorePermit {
         self.permit
     }
--- a/src/daemon/upstream/connection/tests.rs
+++ b/src/daemon/upstream/connection/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards against a shortage of this node's own that passes for an endpoint's failure and ejects it.
+/// Guards against ejecting an endpoint because this node is short of resources.
 #[test]
 fn shortage_of_this_node_is_no_evidence_about_an_endpoint() {
     let local = [
--- a/src/daemon/upstream/context.rs
+++ b/src/daemon/upstream/context.rs
@@ -1,4 +1,4 @@
-//! What an attempt takes from the pool, besides its connection.
+//! The context that the pool provides to each attempt.
 
 use std::sync::Arc;
 
@@ -9,18 +9,18 @@
 use super::pacing::ResponsePacing;
 use crate::engine::message::Message;
 
-/// What an attempt takes from the pool, besides its connection.
+/// The context that the pool provides to an attempt, besides its connection.
 pub(super) struct AttemptContext {
-    /// The endpoint, with its connections.
+    /// The endpoint with its connections.
     pub endpoint: Arc<UpstreamEndpoint>,
-    /// Times that bound connections.
+    /// Connection timeouts.
     pub timeouts: Arc<Timeouts>,
-    /// The load report's fields, in the order of the settings.
+    /// The fields of a load report, in the order of the settings.
     pub load_report_fields: Arc<[LoadField]>,
-    /// Slow-peer protection, where the operator enabled it.
+    /// Slow-peer protection, if the operator enabled it.
     pub pacing: Option<ResponsePacing>,
-    /// Bounds the memory of prefetched bodies: one permit for each byte, returned when the body is dropped.
+    /// Bounds the memory of prefetched bodies: one permit per byte, released when the body is dropped.
     pub prefetch: Arc<Semaphore>,
-    /// Takes the report of how the attempt ended.
+    /// The engine's queue, which receives the attempt's report.
     pub queue: mpsc::Sender<Message>,
 }
--- a/src/daemon/upstream/deadlines.rs
+++ b/src/daemon/upstream/deadlines.rs
@@ -1,15 +1,15 @@
-//! The instants that bound an attempt, on the system's monotonic clock.
+//! The deadlines of an attempt, on the system's monotonic clock.
 
 use std::time::Instant;
 
-/// The instants that bound an attempt.
+/// The deadlines of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptDeadlines {
-    /// By when its response has to be complete, or to have begun to stream: the attempt times out then.
+    /// The attempt times out unless its response is complete, or has begun to stream, by this time.
     pub response_by: Instant,
-    /// By when the first byte of the request has to be written, where the attempt repeats a possibly executed one: endpoints
-    /// may not recognize it as a repeat after that.
+    /// Deadline for the first byte of the request if an earlier attempt may have been executed: after it, endpoints may not
+    /// recognize the request as a retry.
     pub first_byte_by: Option<Instant>,
-    /// By when the response of a retry would have to be complete; `None` where no retry may follow.
+    /// Deadline for the response of a retry; `None` if no retry is allowed.
     pub retry_response_by: Option<Instant>,
 }
--- a/src/daemon/upstream/endpoint.rs
+++ b/src/daemon/upstream/endpoint.rs
@@ -1,7 +1,6 @@
-//! One endpoint's connections, and the lease on one with which an attempt starts.
+//! The connections of one endpoint, shared by the pool and the attempts at the endpoint.
 //!
-//! Owner: the pool and the attempts at the endpoint share it. Input: changes of the endpoint list, connections that became
-//! idle. Output: idle connections. Invariant: its lock is never held across a wait.
+//! The lock is never held across an await point.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard};
@@ -11,7 +10,7 @@
 
 use super::connection::UpstreamConnection;
 
-/// What an attempt starts with.
+/// What an attempt gets from the pool: an idle connection, or the right to open one.
 pub(super) enum ConnectionLease {
     /// An idle connection.
     Idle(UpstreamConnection),
@@ -19,25 +18,25 @@
     Permit(OwnedSemaphorePermit),
 }
 
-/// Where an endpoint accepts connections, and which of them are idle.
+/// An endpoint's address, draining flag and idle connections.
 pub(super) struct EndpointConnections {
-    /// Where it accepts connections.
+    /// The address on which it accepts connections.
     pub address: SocketAddr,
-    /// It drains: no request is sent to it any more.
+    /// Whether it is draining: it gets no more requests.
     pub draining: bool,
-    /// The connection that became idle last is at the end.
+    /// Idle connections, in the order in which they became idle.
     pub idle: Vec<UpstreamConnection>,
 }
 
-/// One endpoint. Shared by the pool and the attempts at the endpoint.
+/// One endpoint.
 pub(super) struct UpstreamEndpoint {
-    /// Protects address, draining flag and idle connections, which change together; held for one step of the pool or of an
-    /// attempt.
+    /// Protects address, draining flag and idle connections, which change together. Held only briefly by the pool and by
+    /// attempts.
     connections: Mutex<EndpointConnections>,
 }
 
 impl UpstreamEndpoint {
-    /// An endpoint without connections.
+    /// Creates an endpoint without connections.
     pub(super) fn new(address: SocketAddr) -> Self {
         UpstreamEndpoint {
             connections: Mutex::new(EndpointConnections {
@@ -48,19 +47,19 @@
         }
     }
 
-    /// The endpoint's connections. The lock is never held across a wait.
+    /// Locks the endpoint's connections. The guard must not be held across an await point.
     pub(super) fn lock(&self) -> MutexGuard<'_, EndpointConnections> {
-        // No code panics while it holds the lock; if it did, the state would still be consistent.
+        // No code panics while it holds the lock, and even then the state would be consistent.
         self.connections
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
-/// Times that bound connections to endpoints.
+/// Timeouts of connections to endpoints.
 pub(super) struct Timeouts {
-    /// A connection has to be established within this time.
+    /// Time limit for establishing a connection.
     pub connect: Duration,
-    /// A connection that was idle for this long is not used again.
+    /// A connection that has been idle for this long is not reused.
     pub idle: Duration,
 }
--- a/src/daemon/upstream/exchange.rs
+++ b/src/daemon/upstream/exchange.rs
@@ -1,9 +1,8 @@
-//! One request and its response, over one connection to an endpoint.
+//! One request and its response over one connection to an endpoint.
 //!
-//! Owner: the attempt, which polls the exchange and hyper's connection in its own task. Input: a lease on a connection and
-//! what is forwarded. Output: the response, or what its lack proves. Invariants: nothing is sent twice; a connection is
-//! closed with the exchange that uses it, unless the response was read completely; what a failure proves about the
-//! request's execution follows from the bytes written.
+//! The exchange and hyper's connection are polled in the attempt's task. A request is sent at most once. Dropping the exchange
+//! closes its connection; the connection is reused only after the response has been read completely. On failure, the number
+//! of bytes written determines whether the request may have been executed.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -34,34 +33,34 @@
 
 /// An endpoint's response.
 pub(super) struct UpstreamResponse {
-    /// Its status.
+    /// The status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: ResponseBody,
 }
 
 /// See the [module documentation](self).
 pub(super) struct Exchange<'a> {
-    /// What the pool gives the attempt.
+    /// The context provided by the pool.
     pub context: &'a AttemptContext,
-    /// What is sent.
+    /// The request to send.
     pub forwarded: &'a ForwardedRequest,
-    /// The instants that bound the exchange.
+    /// The deadlines of the attempt.
     pub deadlines: AttemptDeadlines,
 }
 
 impl Exchange<'_> {
-    /// Runs the exchange; an error is how it ended without a response. `begin` takes a response that is forwarded while
-    /// it is still received; the exchange then ends with the body.
+    /// Runs the exchange. A response that is streamed is sent to `stream_start` when it begins; the exchange then ends with the
+    /// body. An error is the outcome of an exchange without a response.
     pub(super) async fn run(
         &self,
         lease: ConnectionLease,
-        begin: oneshot::Sender<UpstreamResponse>,
+        stream_start: oneshot::Sender<UpstreamResponse>,
     ) -> Result<UpstreamResponse, Outcome> {
         let mut connection = self.connect(lease).await?;
-        // No wait between this check and the first byte.
+        // Nothing is awaited between this check and the first byte.
         self.check_may_send()?;
         let request = self
             .build_request(connection.address)
@@ -73,26 +72,26 @@
             ..
         } = &mut connection;
         let written_before = watch.written.load(Ordering::Relaxed);
-        let response = self.request_response(sender, watch, request, begin);
+        let response = self.request_response(sender, watch, request, stream_start);
         let is_streaming = || watch.streaming.load(Ordering::Relaxed);
         let response = drive(driver, response, is_streaming).await.flatten();
         watch.streaming.store(false, Ordering::Relaxed);
         let Some(response) = response else {
             let written = watch.written.load(Ordering::Relaxed) - written_before;
-            return Err(ExchangeFailure::of_bytes_written(written).into());
+            return Err(ExchangeFailure::from_bytes_written(written).into());
         };
         self.return_to_pool(connection).await;
         Ok(response)
     }
 
-    /// The leased idle connection where it is still usable, else a new one.
+    /// Returns the leased idle connection if it is still usable, otherwise a new one.
     async fn connect(&self, lease: ConnectionLease) -> Result<UpstreamConnection, Outcome> {
         let permit = match lease {
             ConnectionLease::Idle(mut connection) => {
                 if connection.is_usable().await {
                     return Ok(connection);
                 }
-                // The endpoint closed it while it was idle, and nothing was written on it: a new one takes its permit.
+                // The endpoint closed it while it was idle. Nothing has been written on it, so a new connection may replace it.
                 connection.close()
             }
             ConnectionLease::Permit(permit) => permit,
@@ -101,7 +100,7 @@
         UpstreamConnection::dial(address, self.context.timeouts.connect, permit).await
     }
 
-    /// Refuses to send the request where that became wrong while the attempt connected.
+    /// Applies the send rule again, since the situation may have changed while the connection was established.
     fn check_may_send(&self) -> Result<(), Outcome> {
         let facts = WriteFacts {
             now: Instant::now(),
@@ -118,7 +117,7 @@
         })
     }
 
-    /// The request as it is sent to the endpoint; `None` where it can't be expressed.
+    /// Builds the request to the endpoint; `None` if a part of it is not valid HTTP.
     fn build_request(&self, address: SocketAddr) -> Option<Request<Full<Bytes>>> {
         let forwarded = self.forwarded;
         let time_left = self
@@ -144,13 +143,13 @@
         request.body(Full::new(forwarded.body.clone())).ok()
     }
 
-    /// Sends the request and reads its response; `None` where that is malformed, breaks off or is given up.
+    /// Sends the request and reads its response; `None` if the response is malformed, truncated or abandoned.
     async fn request_response(
         &self,
         sender: &mut SendRequest<Full<Bytes>>,
         watch: &ConnectionWatch,
         request: Request<Full<Bytes>>,
-        begin: oneshot::Sender<UpstreamResponse>,
+        stream_start: oneshot::Sender<UpstreamResponse>,
     ) -> Option<UpstreamResponse> {
         let response = sender.send_request(request);
         let response = match &self.context.pacing {
@@ -158,28 +157,28 @@
             Some(pacing) => tokio::select! {
                 biased;
                 response = response => response.ok()?,
-                () = pacing.head_stalls(watch, self.deadlines) => return None,
+                () = pacing.wait_for_stalled_head(watch, self.deadlines) => return None,
             },
         };
         if !is_delimited(response.version(), response.status(), response.headers()) {
             return None;
         }
-        self.receive_body(response, watch, begin).await
+        self.receive_body(response, watch, stream_start).await
     }
 
-    /// Reads a body ahead, and forwards it while it is still received where it is too long for that.
+    /// Prefetches a body, or streams it if it is too long for that.
     async fn receive_body(
         &self,
         response: Response<UpstreamBody>,
         watch: &ConnectionWatch,
-        begin: oneshot::Sender<UpstreamResponse>,
+        stream_start: oneshot::Sender<UpstreamResponse>,
     ) -> Option<UpstreamResponse> {
         let (parts, mut body) = response.into_parts();
         let length = body.size_hint().exact();
         let success = classify(parts.status, &parts.headers) == Outcome::Success;
         let permit = self.acquire_prefetch(length);
         let prefetched = match (&self.context.pacing, &permit) {
-            (_, None) if success => body::first_piece(&mut body).await?,
+            (_, None) if success => body::first_chunk(&mut body).await?,
             (None, _) => body::prefetch(&mut body).await?,
             (Some(pacing), _) => pacing.prefetch(&mut body, self.deadlines).await?,
         };
@@ -194,8 +193,8 @@
         }
         let (sender, streaming) = streaming_body::channel(length, permit);
         watch.streaming.store(true, Ordering::Relaxed);
-        // Fails where the attempt was cancelled or timed out in this very poll.
-        begin
+        // Fails if the attempt was cancelled or timed out in the same poll.
+        stream_start
             .send(response(
                 parts.headers.clone(),
                 ResponseBody::Streaming(streaming),
@@ -205,8 +204,8 @@
         is_forwarded.then(|| response(parts.headers, ResponseBody::Buffered(Bytes::new())))
     }
 
-    /// Permits to prefetch a body of this length. `None` where the body is longer than what is prefetched, or the permits are
-    /// taken: the body is then forwarded as it is received, at its client's pace.
+    /// Acquires memory permits to prefetch a body of this length. `None` if the body is too long or not enough permits are
+    /// available: the body is then streamed at the rate at which the client reads.
     fn acquire_prefetch(&self, length: Option<u64>) -> Option<OwnedSemaphorePermit> {
         let bytes = length.unwrap_or(MAX_BODY_BYTES as u64);
         if bytes > MAX_BODY_BYTES as u64 {
@@ -216,7 +215,7 @@
         prefetch.try_acquire_many_owned(bytes as u32).ok()
     }
 
-    /// Makes a connection idle, where it is still usable and its endpoint in service at the same address.
+    /// Returns a connection to the pool if it is still usable and its endpoint is in service at the same address.
     async fn return_to_pool(&self, mut connection: UpstreamConnection) {
         if connection.is_usable().await {
             connection.idle_since = Instant::now();
--- a/src/daemon/upstream/exchange/tests.rs
+++ b/src/daemon/upstream/exchange/tests.rs
@@ -29,14 +29,14 @@
         idempotency_key: None,
         body: Bytes::new(),
         _body_permit: None,
-        client: ClientPresence::of_service(Arc::downgrade(&CLIENT)),
+        client: ClientPresence::from_service(Arc::downgrade(&CLIENT)),
     }
 }
 
 /// A client that stays connected.
 static CLIENT: LazyLock<Arc<()>> = LazyLock::new(Arc::default);
 
-/// What an attempt at this endpoint takes from its pool; its report goes nowhere.
+/// The context of an attempt at this endpoint, whose report is discarded.
 fn context(endpoint: UpstreamEndpoint) -> AttemptContext {
     let second = Duration::from_secs(1);
     AttemptContext {
@@ -60,7 +60,7 @@
     }
 }
 
-/// One attempt at an address, on an endpoint that may be draining; given up after far longer than it takes.
+/// The outcome of one attempt at an address whose endpoint may be draining. The timeout is far longer than an attempt takes.
 async fn attempt(address: SocketAddr, draining: bool) -> Option<Outcome> {
     attempt_of(forwarded(), address, draining).await
 }
@@ -85,7 +85,7 @@
         .err()
 }
 
-/// How an attempt ends that gets this response.
+/// The outcome of an attempt that gets this response.
 async fn outcome_of(response: &str) -> Option<Outcome> {
     let (listener, address) = listen().await;
     let serve = async {
@@ -97,7 +97,7 @@
         }
         stream
     };
-    // The connection stays open at its other end.
+    // The server keeps its end of the connection open.
     let (outcome, _stream) = tokio::join!(attempt(address, false), serve);
     outcome
 }
@@ -126,9 +126,9 @@
     }
     let chunks = "Transfer-Encoding: chunked\r\n\r\n4;a=b\r\nfine\r\n0\r\nX-Trailer: x\r\n\r\n";
     assert_eq!(outcome_of(&format!("{ok}{chunks}")).await, None);
-    let ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
-    assert_eq!(outcome_of(&format!("{ahead}{ok}{}", good[0])).await, None);
-    let spoilt = [
+    let early = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
+    assert_eq!(outcome_of(&format!("{early}{ok}{}", good[0])).await, None);
+    let invalid = [
         "\r\nno length, and no end",
         "Content-Length: 4\r\nContent-Length: 4\r\n\r\nfine",
         "Content-Length: 4\r\nContent-Length: 5\r\n\r\nfine",
@@ -139,7 +139,7 @@
         "Transfer-Encoding: gzip\r\n\r\nfine",
         "no header\r\n\r\n",
     ];
-    for rest in spoilt {
+    for rest in invalid {
         assert_eq!(
             outcome_of(&format!("{ok}{rest}")).await,
             Some(Outcome::ConnectionReset),
@@ -181,7 +181,7 @@
     let permit = ConnectionLease::Permit(permits.clone().try_acquire_owned().unwrap());
     let first = exchange.run(permit, oneshot::channel().0);
     let (_, stream) = tokio::join!(first, serve("first"));
-    // A second copy, which the reactor has not seen: nothing is awaited between.
+    // A second copy of the response, which the reactor has not noticed, since nothing is awaited in between.
     assert!(stream.try_write(response("first").as_bytes()).unwrap() > 0);
     let idle = context.endpoint.lock().idle.pop().unwrap();
     let second = exchange.run(ConnectionLease::Idle(idle), oneshot::channel().0);
@@ -190,7 +190,7 @@
         .await
         .expect("a new connection");
     assert!(matches!(second.ok().unwrap().body, ResponseBody::Buffered(body) if body == "second"));
-    // The one permit went from the old connection to the new one.
+    // The only permit has passed from the old connection to the new one.
     assert_eq!(permits.available_permits(), 0);
     context.endpoint.lock().idle.clear();
     assert_eq!(permits.available_permits(), 1);
@@ -210,7 +210,7 @@
         attempt(address, true).await,
         Some(Outcome::NotSentRetryable)
     );
-    // The connection came up, and ended without a byte.
+    // The connection was established and closed without a byte.
     let (mut stream, _) = listener.accept().await.unwrap();
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).await.unwrap();
@@ -221,7 +221,7 @@
 async fn request_is_not_written_if_its_client_disconnected_during_the_dial() {
     let (listener, address) = listen().await;
     let disconnected = ForwardedRequest {
-        client: ClientPresence::of_service(Weak::new()),
+        client: ClientPresence::from_service(Weak::new()),
         ..forwarded()
     };
     assert_eq!(
--- a/src/daemon/upstream/mod.rs
+++ b/src/daemon/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Carries out attempts: connections to the endpoints, and what their responses prove.
+//! Connections to endpoints, the attempts made over them, and the evaluation of responses.
 
 pub(crate) mod attempt;
 mod body;
--- a/src/daemon/upstream/pacing.rs
+++ b/src/daemon/upstream/pacing.rs
@@ -1,7 +1,5 @@
-//! Slow-peer protection of endpoints' responses: gives up a response that stalls or is too slow, where a retry has time.
-//!
-//! Owner: the attempt's exchange. Input: hyper's body and the operator's settings. Output: the prefetched body, or a response
-//! given up. Invariant: a response is given up only while there is time for a retry.
+//! Slow-peer protection for endpoints' responses: abandons a response that stalls or is too slow, provided that there is time
+//! for a retry.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -21,14 +19,15 @@
 
 /// See the [module documentation](self).
 pub(super) struct ResponsePacing {
-    /// The settings in force, and the counters of events.
+    /// Provides the current settings and counts events.
     pub monitor: Arc<TransferMonitor>,
-    /// The clock of the transfers.
+    /// The clock for transfer times.
     pub clock: Clock,
 }
 
 impl ResponsePacing {
-    /// True while there is time for a retry, should the policy want one: without it nothing is gained by giving up.
+    /// True while there is time for a retry, should the policy decide on one. Otherwise nothing is gained by abandoning the
+    /// response.
     fn leaves_time_to_retry(&self, deadlines: AttemptDeadlines) -> bool {
         let min_time_left = self.monitor.settings().retry_room.0;
         deadlines
@@ -46,12 +45,16 @@
         self.monitor.record(unknown_owner, event);
     }
 
-    /// Ends once a head that has begun to arrive takes longer than the pause that is allowed in a response; never where there
-    /// is no time for a retry.
-    pub(super) async fn head_stalls(&self, watch: &ConnectionWatch, deadlines: AttemptDeadlines) {
+    /// Completes when a response head has begun to arrive and then takes longer than the maximum pause in a response. Never
+    /// completes if there is no time for a retry.
+    pub(super) async fn wait_for_stalled_head(
+        &self,
+        watch: &ConnectionWatch,
+        deadlines: AttemptDeadlines,
+    ) {
         watch.notify_on_read.store(true, Ordering::Relaxed);
         watch.response_began.notified().await;
-        // In two halves: a stall of the process uses up one of them only.
+        // Two sleeps of half the pause each: a stall of this process consumes at most one of them.
         let half = self.monitor.settings().pause.0 / 2;
         tokio::time::sleep(half).await;
         tokio::time::sleep(half).await;
@@ -61,7 +64,7 @@
         self.record(SlowPeerEvent::UpstreamResponseStalled);
     }
 
-    /// Reads a body ahead; `None` where it is malformed, stalls or can't be complete in time.
+    /// Prefetches a body; `None` if it is malformed, stalls or cannot be complete in time.
     pub(super) async fn prefetch(
         &self,
         body: &mut UpstreamBody,
@@ -74,7 +77,7 @@
         loop {
             let check_at = match transfer.evaluate(self.clock.now()) {
                 IncomingStatus::CheckAgainAt(next) => (next != u64::MAX).then_some(next),
-                // Nothing is gained by giving up: the rest may yet arrive before the attempt times out.
+                // Without a retry, waiting is better: the rest may still arrive before the attempt times out.
                 _ if !self.leaves_time_to_retry(deadlines) => None,
                 IncomingStatus::Stalled => {
                     self.record(SlowPeerEvent::UpstreamResponseStalled);
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Waits for the next frame of a body, or until the transfer has to be checked.
+    /// Waits for the next frame of a body or until the transfer has to be checked.
     async fn next_frame(&self, body: &mut UpstreamBody, check_at: Option<u64>) -> NextFrame {
         let frame = match check_at {
             None => Ok(body.frame().await),
@@ -116,10 +119,10 @@
     }
 }
 
-/// What a wait for a frame came to.
+/// The result of waiting for a frame.
 enum NextFrame {
     End,
     Frame(hyper::Result<Frame<Bytes>>),
-    /// The transfer has to be checked before the wait goes on.
+    /// The transfer has to be checked before waiting further.
     CheckDue,
 }
--- a/src/daemon/upstream/pool.rs
+++ b/src/daemon/upstream/pool.rs
@@ -1,8 +1,7 @@
-//! The connection pool: endpoints, their idle connections, and the attempts that are started on them.
+//! The connection pool: endpoints, their idle connections, and the attempts started on them.
 //!
-//! Owner: the engine. Input: changes of the endpoint list, attempts to start. Output: one message to the engine's queue
-//! for each attempt. Invariants: no more connections than [`PoolLimits`] allows; a draining endpoint gets nothing new,
-//! and its idle connections are closed.
+//! Each started attempt sends one message to the engine's queue. The number of connections never exceeds [`PoolLimits`]. A
+//! draining endpoint gets no new attempts, and its idle connections are closed.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,26 +20,26 @@
 use crate::upstream::endpoint::{ConnectionLease, Timeouts, UpstreamEndpoint};
 use crate::upstream::pacing::ResponsePacing;
 
-/// Fraction of the endpoint's idle limit after which an idle connection is closed here: a request that crosses the
-/// endpoint's own close is reset.
+/// Fraction of the endpoint's idle timeout after which the pool closes an idle connection. A request sent while the endpoint
+/// closes the connection would be reset.
 const IDLE_LIMIT_FRACTION: f64 = 0.6;
 
-/// Bounds on the pool's connections and memory.
+/// Limits of the pool's connections and memory.
 pub(crate) struct PoolLimits {
-    /// Connections, idle ones among them.
+    /// Maximum number of connections, including idle ones.
     pub connections: usize,
-    /// Bytes of responses that are read ahead.
+    /// Maximum number of bytes of prefetched response bodies.
     pub prefetch_bytes: usize,
 }
 
 /// See the [module documentation](self).
 pub(crate) struct ConnectionPool {
     endpoints: HashMap<EndpointId, Arc<UpstreamEndpoint>>,
-    /// Bounds the connections: one permit for each, returned when the connection is dropped.
+    /// Bounds the number of connections: one permit each, released when the connection is dropped.
     permits: Arc<Semaphore>,
     timeouts: Arc<Timeouts>,
     load_report_fields: Arc<[LoadField]>,
-    /// Bounds the memory of prefetched bodies: one permit for each byte, returned when the body is dropped.
+    /// Bounds the memory of prefetched bodies: one permit per byte, released when the body is dropped.
     prefetch: Arc<Semaphore>,
     clock: Clock,
     monitors: TransferMonitors,
@@ -48,7 +47,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool without endpoints, whose attempts report to `queue`.
+    /// Creates a pool without endpoints, whose attempts report to `queue`.
     pub(crate) fn new(
         settings: &PlatformSettings,
         limits: PoolLimits,
@@ -73,10 +72,10 @@
         }
     }
 
-    /// Takes a change of the endpoint list.
+    /// Applies a change of the endpoint list.
     pub(crate) fn update(&mut self, kind: EndpointUpdateKind, entries: &[EndpointEntry]) {
         if kind != EndpointUpdateKind::Delta {
-            // An endpoint that a complete list leaves out was removed; those that it has are set right below.
+            // Endpoints missing from a complete list have been removed; the flag of listed ones is set below.
             for endpoint in self.endpoints.values() {
                 endpoint.lock().draining = true;
             }
@@ -93,8 +92,7 @@
                 .idle
                 .retain(|connection| connection.address == *address);
         }
-        // This closes the idle connections of the removed endpoints. Attempts in flight share the endpoint, and see that it
-        // is draining.
+        // Dropping an endpoint closes its idle connections. Attempts in flight still share it and see that it is draining.
         self.endpoints
             .retain(|_, endpoint| !endpoint.lock().draining);
     }
@@ -103,7 +101,7 @@
         connection.idle_since.elapsed() < self.timeouts.idle
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes connections that have been idle for too long.
     pub(crate) fn close_expired(&self) {
         for endpoint in self.endpoints.values() {
             endpoint
@@ -113,7 +111,7 @@
         }
     }
 
-    /// How many connections are idle.
+    /// Number of idle connections.
     pub(crate) fn idle_connections(&self) -> usize {
         self.endpoints
             .values()
@@ -121,7 +119,7 @@
             .sum()
     }
 
-    /// A permit for a new connection; where all are taken, the connection that has been idle longest is closed.
+    /// Acquires a permit for a new connection. If none is available, closes the connection that has been idle longest.
     fn acquire_permit(&self) -> Option<OwnedSemaphorePermit> {
         if let Ok(permit) = self.permits.clone().try_acquire_owned() {
             return Some(permit);
@@ -139,9 +137,9 @@
         self.permits.clone().try_acquire_owned().ok()
     }
 
-    /// An idle connection that may still be used, or a permit for a new one.
+    /// Returns an idle connection that may still be reused, or a permit for a new one.
     fn lease(&self, endpoint: &UpstreamEndpoint) -> Option<ConnectionLease> {
-        // The endpoint may be closing a connection past the idle limit, which the sweep has not reached yet.
+        // The sweep may not have closed an expired connection yet, and the endpoint may be about to close it.
         let idle = endpoint
             .lock()
             .idle
@@ -151,7 +149,7 @@
             .or_else(|| self.acquire_permit().map(ConnectionLease::Permit))
     }
 
-    /// Slow-peer protection for responses, where the operator enabled it.
+    /// Slow-peer protection for responses, if the operator enabled it.
     fn response_pacing(&self) -> Option<ResponsePacing> {
         let monitor = self.monitors.borrow();
         let monitor = monitor
@@ -163,12 +161,12 @@
         })
     }
 
-    /// Starts an attempt in a task of its own, which reports once. Nobody joins the task: it ends by its deadline, or at once
-    /// when the returned sender is dropped, which cancels the attempt.
+    /// Starts an attempt in its own task, which sends one report. The task is not joined: it ends at its deadline, or when the
+    /// returned sender is dropped, which cancels the attempt.
     ///
     /// # Errors
     ///
-    /// The attempt itself, where its endpoint is not listed or no connection may be opened: nothing was sent.
+    /// Returns the attempt if its endpoint is not listed or no connection is available. Nothing has been sent then.
     pub(crate) fn start(&self, attempt: Attempt) -> Result<oneshot::Sender<()>, Attempt> {
         let Some(endpoint) = self.endpoints.get(&attempt.endpoint) else {
             return Err(attempt);
--- a/src/daemon/upstream/pool/tests.rs
+++ b/src/daemon/upstream/pool/tests.rs
@@ -25,15 +25,15 @@
     }
 }
 
-/// A pool of one endpoint, with one connection permit and no memory to prefetch: responses are forwarded from their first
-/// piece.
+/// A pool with one endpoint, one connection permit and no memory for prefetching, so that responses are streamed from their
+/// first chunk.
 fn pool_of_one(address: SocketAddr, queue: mpsc::Sender<Message>) -> ConnectionPool {
     let settings = PlatformConfig::sample().settings;
     let limits = PoolLimits {
         connections: 1,
         prefetch_bytes: 0,
     };
-    let monitors = slow_peers::none();
+    let monitors = slow_peers::disabled();
     let mut pool = ConnectionPool::new(&settings, limits, Clock::start(), monitors, queue);
     let endpoint = Endpoint {
         id: "s-1".into(),
--- a/src/daemon/upstream/response.rs
+++ b/src/daemon/upstream/response.rs
@@ -1,7 +1,6 @@
 //! Evaluates an endpoint's response: whether the request was executed, whether the response is complete, and its load report.
 //!
-//! Input: status and headers, or how much of a request was written. Output: the decision policy's [`Outcome`].
-//! Invariant: only the endpoint's own mark, or that nothing was written, proves that a request was never executed.
+//! Only the endpoint's `x-unprocessed` header, or the fact that nothing was written, proves that a request was never executed.
 
 use std::ops::RangeInclusive;
 
@@ -9,27 +8,27 @@
 use hyper::header::{HeaderMap, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{StatusCode, Version};
 
-/// The mark of a response to a request that was never executed.
+/// The header that marks a response to a request that was never executed.
 const UNPROCESSED: &str = "x-unprocessed";
-/// The load report's header.
+/// The header of the load report.
 const LOAD_REPORT: &str = "x-backend-load";
-/// The plausible values of a load report; a report with any other value is ignored.
+/// Plausible values of a load report; a report with any other value is ignored.
 const PLAUSIBLE_LOAD: RangeInclusive<f64> = 0.0..=1e6;
-/// Bounds the length that a response may announce, 1 GiB; a larger one is malformed.
+/// Maximum Content-Length of a response, 1 GiB; a response with a larger one is malformed.
 const MAX_ANNOUNCED_BYTES: u64 = 1 << 30;
 
-/// What an exchange without a complete response proves about its request.
+/// Whether a request may have been executed whose exchange ended without a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExchangeFailure {
-    /// Not a byte was written.
+    /// No byte was written.
     NeverExecuted,
-    /// Some bytes were written, and they may have been the complete request.
+    /// Bytes were written that may have been the complete request.
     PossiblyExecuted,
 }
 
 impl ExchangeFailure {
-    /// The failure of an exchange that wrote so many bytes.
-    pub(super) fn of_bytes_written(bytes: u64) -> Self {
+    /// Classifies a failed exchange by the number of bytes written.
+    pub(super) fn from_bytes_written(bytes: u64) -> Self {
         match bytes {
             0 => ExchangeFailure::NeverExecuted,
             _ => ExchangeFailure::PossiblyExecuted,
@@ -38,7 +37,7 @@
 }
 
 impl From<ExchangeFailure> for Outcome {
-    /// The policy sees a malformed response, and one that was given up for its data rate, as a connection that broke.
+    /// A response that is malformed or was abandoned for its data rate is reported to the policy as a connection reset.
     fn from(failure: ExchangeFailure) -> Self {
         match failure {
             ExchangeFailure::NeverExecuted => Outcome::ConnectFailed,
@@ -47,7 +46,7 @@
     }
 }
 
-/// What a complete response proves about its request.
+/// Classifies a complete response.
 pub(super) fn classify(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let unprocessed = || {
         headers
@@ -61,8 +60,8 @@
     }
 }
 
-/// True where exactly one header frames the response, or where it ends with its connection. Without either the response may
-/// have been truncated, and with two framings a second response may be hidden in it.
+/// True if exactly one header frames the response, or if the response ends with its connection. Without either the response
+/// may have been truncated, and with two framings it may contain a second response.
 pub(super) fn is_delimited(version: Version, status: StatusCode, headers: &HeaderMap) -> bool {
     if status == StatusCode::SWITCHING_PROTOCOLS {
         return false;
@@ -81,7 +80,7 @@
             .and_then(|length| length.parse().ok())
             .is_some_and(|length: u64| length <= MAX_ANNOUNCED_BYTES),
         (None, None, Some(coding), None) => coding.as_bytes().eq_ignore_ascii_case(b"chunked"),
-        // The two statuses have no body; a body of unknown length ends with its connection, as HTTP/1.0 has it.
+        // Responses with these two statuses have no body. As in HTTP/1.0, a body of unknown length ends with its connection.
         (None, None, None, None) => {
             [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&status)
                 || version == Version::HTTP_10
@@ -91,7 +90,7 @@
     }
 }
 
-/// True where a response announces that its connection ends with it.
+/// True if a response has the `close` connection option.
 fn closes_connection(headers: &HeaderMap) -> bool {
     headers
         .get_all(CONNECTION)
@@ -101,7 +100,7 @@
         .any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
 
-/// The load report in the order of the settings; empty where there is none or one of its values is not plausible.
+/// Parses the load report into the order of the settings; empty if there is none or one of its values is not plausible.
 pub(super) fn load_report(headers: &HeaderMap, fields: &[LoadField]) -> Vec<f64> {
     let Some(text) = headers
         .get(LOAD_REPORT)
