--- a/src/daemon/engine/admin_commands.rs
+++ b/src/daemon/engine/admin_commands.rs
@@ -1,7 +1,7 @@
 //! Admin commands that the engine carries out: maintenance of endpoints and the state transferred in a hot restart.
 //!
-//! Each command gets one reply. The reply to a maintenance command is sent after both the policy and the connection pool
-//! have applied the change.
+//! Each command gets one reply. The reply to a maintenance command is sent after both the policy and the connection
+//! pool have applied the change.
 
 use applewall::api::{EndpointUpdateKind, Event};
 
--- a/src/daemon/engine/attempts.rs
+++ b/src/daemon/engine/attempts.rs
@@ -1,8 +1,8 @@
 //! Starts the attempts that the decision policy requests.
 //!
-//! The send rule is checked before the connection pool starts an attempt. Regardless of the policy's decisions, a request
-//! has at most one attempt in flight, no more attempts than the settings allow, and no attempt after its deadline. The policy
-//! is notified of an attempt that could not be started by a result with the outcome "not sent".
+//! The send rule is checked before the connection pool starts an attempt. Regardless of the policy's decisions, a
+//! request has at most one attempt in flight, no more attempts than the settings allow, and no attempt after its
+//! deadline. The policy is notified of an attempt that could not be started by a result with the outcome "not sent".
 
 use applewall::api::{EndpointId, Event, Idempotency, Outcome, PolicySettings, RequestId};
 
@@ -17,15 +17,15 @@
 
 /// An attempt ends this long before the client's deadline, so that its response can still reach the client.
 const ATTEMPT_MARGIN_NS: u64 = 20_000_000;
-/// Numerator of the fraction of the endpoints' deduplication window within which the first byte of a retry of a possibly
-/// executed attempt is written. The rest of the window allows for transmission to the endpoint.
+/// Numerator of the fraction of the endpoints' deduplication window within which the first byte of a retry of a
+/// possibly executed attempt is written. The rest of the window allows for transmission to the endpoint.
 const USABLE_WINDOW_NUMERATOR: u64 = 19;
 /// Denominator of the fraction; see [`USABLE_WINDOW_NUMERATOR`].
 const USABLE_WINDOW_DENOMINATOR: u64 = 20;
 
 impl Engine {
-    /// Starts an attempt. If the send rule refuses it or no connection is available, it is reported to the policy as not
-    /// sent.
+    /// Starts an attempt. If the send rule refuses it or no connection is available, it is reported to the policy as
+    /// not sent.
     pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
@@ -59,8 +59,8 @@
         pending.attempt_started(number, self.now, cancel);
     }
 
-    /// Reports an attempt that was not started. The policy receives the event after the remaining actions of the current
-    /// event have been performed.
+    /// Reports an attempt that was not started. The policy receives the event after the remaining actions of the
+    /// current event have been performed.
     fn report_not_sent(&mut self, request: RequestId, attempt: u32, endpoint: EndpointId) {
         let result = self.attempt_result(request, attempt, endpoint, Outcome::NotSent);
         self.follow_up_events
@@ -86,8 +86,8 @@
 }
 
 impl AttemptTimes {
-    /// Computes the deadlines of an attempt that starts now. Without a timeout it may take until the client's deadline, less
-    /// the margin.
+    /// Computes the deadlines of an attempt that starts now. Without a timeout it may take until the client's deadline,
+    /// less the margin.
     fn new(
         now: u64,
         timeout_ns: Option<u64>,
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Converts the deadlines to the system's clock. If a retry is allowed, its deadline is that of the request's last attempt.
+    /// Converts the deadlines to the system's clock. If a retry is allowed, its deadline is that of the request's last
+    /// attempt.
     fn deadlines(&self, clock: &Clock, facts: &StartFacts) -> AttemptDeadlines {
         AttemptDeadlines {
             response_by: clock.instant(self.response_by_ns),
@@ -117,9 +118,9 @@
     }
 }
 
-/// Deadline for the first byte of the next attempt. A request that may have been executed is retried only while endpoints
-/// still recognize its key. Establishing the connection may take long, so the deadline applies to the first byte rather than
-/// to the start of the attempt.
+/// Deadline for the first byte of the next attempt. A request that may have been executed is retried only while
+/// endpoints still recognize its key. Establishing the connection may take long, so the deadline applies to the first
+/// byte rather than to the start of the attempt.
 fn first_byte_by_ns(pending: &PendingRequest, idempotency: Idempotency) -> Option<u64> {
     let first_possibly_executed_at_ns = pending.first_possibly_executed_at_ns?;
     let Idempotency::IdempotencyKey {
--- a/src/daemon/engine/effects.rs
+++ b/src/daemon/engine/effects.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Rejects a request: with 503 if the policy had decided on an attempt, even one that could not be sent, otherwise with
-    /// 429.
+    /// Rejects a request with status 503 if the policy had decided on an attempt, even one that could not be sent, and with
+    /// status 429 otherwise.
     fn reject(&mut self, request: RequestId, retry_after_ns: Option<u64>) {
         let is_attempted = self
             .pending
@@ -66,7 +66,7 @@
         );
     }
 
-    /// Fails a request none of whose attempts got a usable response.
+    /// Fails a request that got no usable response from any attempt.
     fn fail(&mut self, request: RequestId) {
         self.respond(
             request,
--- a/src/daemon/engine/message.rs
+++ b/src/daemon/engine/message.rs
@@ -105,7 +105,8 @@
     pub serial: u64,
 }
 
-/// The result of an attempt, whose connection has been closed or returned to the pool, unless the response is streaming.
+/// The result of an attempt, whose connection has been closed or returned to the pool, unless the response is
+/// streaming.
 #[derive(Debug)]
 pub(crate) struct AttemptEnded {
     /// The request that the attempt belongs to.
--- a/src/daemon/engine/mod.rs
+++ b/src/daemon/engine/mod.rs
@@ -1,8 +1,9 @@
 //! The engine: the event loop that owns the decision policy, its timers and all pending requests.
 //!
-//! The engine runs in one task. It receives [`Message`]s and admin commands through queues, starts attempts at endpoints,
-//! sends responses to clients and sends datagrams to peers. It awaits nothing but its queues and timers, so senders that wait
-//! for queue capacity always make progress. A request has at most one attempt in flight and gets exactly one response.
+//! The engine runs in one task. It receives [`Message`]s and admin commands through queues, starts attempts at
+//! endpoints, sends responses to clients and sends datagrams to peers. It awaits nothing but its queues and timers, so
+//! senders that wait for queue capacity always make progress. A request has at most one attempt in flight and gets
+//! exactly one response.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -194,8 +195,8 @@
             }
             tokio::select! {
                 biased;
-                // Polled before messages: an admin command has to be answered within one second even if the message queue
-                // is full.
+                // Polled before messages: an admin command has to be answered within one second even if the message
+                // queue is full.
                 Some(command) = admin_commands.recv() => {
                     self.advance_to(self.clock.now(), due);
                     self.handle_admin_command(command);
@@ -215,9 +216,9 @@
         }
     }
 
-    /// Handles reports of attempts before any last-resort response is sent. An attempt normally ends before the last-resort
-    /// response of its request is due. After a stall of the process both may be overdue while the attempt's task has not run
-    /// yet or its report is still queued.
+    /// Handles reports of attempts before any last-resort response is sent. An attempt normally ends before the
+    /// last-resort response of its request is due. After a stall of the process both may be overdue while the attempt's
+    /// task has not run yet or its report is still queued.
     async fn await_due_reports(&mut self, messages: &mut mpsc::Receiver<Message>) {
         // Returns after the runtime has polled I/O, timers and the tasks that they woke.
         tokio::task::yield_now().await;
@@ -228,8 +229,8 @@
     }
 
     /// Advances the engine's time to `now`; `due` is when the next timer was due. If that is long past, the process was
-    /// stalled: requests accepted right afterwards may have waited in the kernel, so the length of the stall is subtracted
-    /// from their deadlines.
+    /// stalled: requests accepted right afterwards may have waited in the kernel, so the length of the stall is
+    /// subtracted from their deadlines.
     fn advance_to(&mut self, now: u64, due: u64) {
         if now.saturating_sub(due) > STALL_THRESHOLD_NS {
             self.stall = ClockStall {
--- a/src/daemon/engine/pending_request.rs
+++ b/src/daemon/engine/pending_request.rs
@@ -36,8 +36,8 @@
     pub deadline_ns: u64,
     /// The request's class.
     pub class: ClassId,
-    /// Number of attempts that the policy has decided on, including those that were not started; also the number of the next
-    /// attempt.
+    /// Number of attempts that the policy has decided on, including those that were not started; also the number of the
+    /// next attempt.
     pub attempts: u32,
     /// The attempt in flight.
     pub in_flight: Option<InFlightAttempt>,
--- a/src/daemon/engine/requests.rs
+++ b/src/daemon/engine/requests.rs
@@ -98,8 +98,8 @@
         self.remove_if_finished(request);
     }
 
-    /// Responds to a request that the policy has left without a response until shortly before its deadline. This is a fault
-    /// of the policy, so it is counted and logged as an error.
+    /// Responds to a request that the policy has left without a response until shortly before its deadline. This is a
+    /// fault of the policy, so it is counted and logged as an error.
     pub(super) fn send_last_resort(&mut self, request: RequestId) {
         self.statistics.last_resort += 1;
         tracing::error!(correlation_id = %CorrelationId(request), "last-resort response sent");
@@ -161,8 +161,8 @@
         self.remove_if_finished(request);
     }
 
-    /// True if the client has disconnected but the message about it is still queued or was lost. No further attempt is made
-    /// for such a client.
+    /// True if the client has disconnected but the message about it is still queued or was lost. No further attempt is
+    /// made for such a client.
     fn client_disconnected_unnoticed(&self, request: RequestId) -> bool {
         self.pending.get(&request).is_some_and(|pending| {
             pending.awaits_response() && pending.forwarded.client_disconnected()
--- a/src/daemon/engine/statistics.rs
+++ b/src/daemon/engine/statistics.rs
@@ -1,5 +1,5 @@
-//! The engine's counters, and the two log events that report them at a fixed interval. An event is omitted if there is nothing
-//! to report.
+//! The engine's counters, and the two log events that report them at a fixed interval. An event is omitted if there is
+//! nothing to report.
 
 use applewall::decision::RejectionCounts;
 
@@ -60,8 +60,8 @@
     }
 }
 
-/// Logs the reasons for which connections were closed, attempts not sent and requests rejected. Reasons with a count of zero
-/// are omitted.
+/// Logs the reasons for which connections were closed, attempts not sent and requests rejected. Reasons with a count of
+/// zero are omitted.
 fn log_counts_by_reason(counts: &EventCounts, rejections: &RejectionCounts) {
     let counted = |count: u64| Some(count).filter(|count| *count > 0);
     tracing::info!(
--- a/src/daemon/engine/tests.rs
+++ b/src/daemon/engine/tests.rs
@@ -53,8 +53,8 @@
     )
 }
 
-/// Submits a request of a connected client. Its attempt is started, but the attempt's task does not run, since the test does
-/// not await anything.
+/// Submits a request of a connected client. Its attempt is started, but the attempt's task does not run, since the test
+/// does not await anything.
 fn submit_request(engine: &mut Engine) -> Receiver<ClientResponse> {
     let response = submit_request_of(engine, Arc::downgrade(&CLIENT));
     assert!(engine.pending[&ID].in_flight.is_some());
@@ -201,7 +201,8 @@
     assert_eq!(engine.statistics.attempts, 1);
 }
 
-/// Guards against admin commands that wait behind a full message queue: the queue is full before the engine runs at all.
+/// Guards against admin commands that wait behind a full message queue: the queue is full before the engine runs at
+/// all.
 #[tokio::test]
 async fn admin_command_is_handled_before_a_full_message_queue() {
     let (queue, inbox) = mpsc::channel(ENGINE_QUEUE_CAPACITY);
@@ -269,8 +270,8 @@
     assert_eq!(engine.statistics.disconnected, 1);
 }
 
-/// Guards against an attempt for a client whose disconnect message was lost in a full queue: only the shared state shows the
-/// disconnect.
+/// Guards against an attempt for a client whose disconnect message was lost in a full queue: only the shared state
+/// shows the disconnect.
 #[tokio::test]
 async fn request_is_not_forwarded_if_its_client_disconnected_in_the_queue() {
     let (mut engine, _inbox) = engine();
@@ -310,8 +311,8 @@
     assert_eq!(engine.statistics.disconnected, 1);
 }
 
-/// Guards against attributing the result of an attempt to a later request with the same id: attempts are numbered from 0 for
-/// each request.
+/// Guards against attributing the result of an attempt to a later request with the same id: attempts are numbered from
+/// 0 for each request.
 #[tokio::test]
 async fn request_id_is_reusable_only_after_its_former_attempt_ended() {
     let (mut engine, _inbox) = engine();
@@ -340,7 +341,8 @@
     assert!(matches!(again.try_recv(), Ok(ClientResponse::Served(..))));
 }
 
-/// Blocks the process until a request's deadline, so that both its attempt's timeout and its last-resort response are overdue.
+/// Blocks the process until a request's deadline, so that both its attempt's timeout and its last-resort response are
+/// overdue.
 async fn stall_beyond(deadline: std::time::Instant) {
     let stall = Duration::from_millis(50);
     tokio::time::sleep_until((deadline - stall).into()).await;
--- a/src/daemon/engine/timers.rs
+++ b/src/daemon/engine/timers.rs
@@ -1,15 +1,15 @@
 //! The engine's timers: those set by the policy, periodic ones, and the last-resort response of each pending request.
 //!
-//! Timers expire in the order of their due times, even if they are checked late. At equal due times last-resort responses come
-//! first, then timers in the order of [`Timer`]'s variants. A request has at most one last-resort entry.
+//! Timers expire in the order of their due times, even if they are checked late. At equal due times last-resort
+//! responses come first, then timers in the order of [`Timer`]'s variants. A request has at most one last-resort entry.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
 use applewall::api::RequestId;
 
-/// Interval of the sweep that closes idle upstream connections. It is a fraction of any endpoint's idle timeout, so that no
-/// connection is reused after the timeout.
+/// Interval of the sweep that closes idle upstream connections. It is a fraction of any endpoint's idle timeout, so
+/// that no connection is reused after the timeout.
 const IDLE_SWEEP_INTERVAL_NS: u64 = 500_000_000;
 /// Interval at which statistics are logged.
 const STATISTICS_INTERVAL_NS: u64 = 10_000_000_000;
--- a/src/daemon/resources/connection_budget.rs
+++ b/src/daemon/resources/connection_budget.rs
@@ -1,27 +1,26 @@
 //! Divides the process's file descriptors among client connections and upstream connections.
 //!
-//! Input: the maximum number of descriptors. Output: the maximum number of connections of each kind. From about 120
-//! descriptors on there are at least as many upstream connections as client connections, since each pending request has
-//! at most one attempt in flight.
+//! From about 120 descriptors on there are at least as many upstream connections as client connections, since each
+//! pending request has at most one attempt in flight.
 
 use std::sync::Arc;
 
 use tokio::sync::Semaphore;
 
-/// Descriptors for everything but client and upstream connections: listeners, discovery, peers, the admin address,
-/// registries, standard streams, the runtime.
+/// Descriptors reserved for everything except client and upstream connections: listeners, discovery, peers, the admin
+/// address, registries, standard streams and the runtime.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Divisor of the descriptors for client connections: a third of them, since each request may need an upstream connection
-/// as well.
+/// Fraction of the descriptors for client connections, as a divisor: one third, since each request may also need an
+/// upstream connection.
 const CLIENT_DIVISOR: usize = 3;
-/// Divisor of the descriptors for spare client connections, whose requests are only rejected.
+/// Fraction of the descriptors for spare client connections, whose requests are only rejected, as a divisor.
 const SPARE_DIVISOR: usize = 16;
 
-/// Maximum number of connections of each kind.
+/// Maximum numbers of connections.
 pub(crate) struct ConnectionBudget {
     /// Client connections whose requests are served.
     pub clients: usize,
-    /// Client connections beyond these, whose requests are rejected; meanwhile idle connections are evicted.
+    /// Additional client connections whose requests are rejected.
     pub spare: usize,
     /// Connections to endpoints.
     pub upstream: usize,
@@ -40,8 +39,8 @@
         }
     }
 
-    /// One permit for each client connection, spare ones included. A permit is taken before `accept` and returned when the
-    /// connection is closed.
+    /// Creates one permit per client connection, including spare ones. A permit is acquired before `accept` and
+    /// released when the connection is closed.
     pub(crate) fn client_permits(&self) -> Arc<Semaphore> {
         Arc::new(Semaphore::new(self.clients + self.spare))
     }
--- a/src/daemon/resources/mod.rs
+++ b/src/daemon/resources/mod.rs
@@ -1,4 +1,4 @@
-//! Limits of resources: capacities of queues and bodies, and the descriptors for connections.
+//! Limits of resources: queue capacities, body lengths, and file descriptors for connections.
 
 pub(crate) mod connection_budget;
 pub(crate) mod limits;
--- a/src/daemon/send_rule.rs
+++ b/src/daemon/send_rule.rs
@@ -1,8 +1,9 @@
-//! Decides whether a request may be sent to an endpoint. The rule is checked when the engine starts an attempt, and again right
-//! before the attempt's first byte, since the situation may have changed while the connection was established.
+//! Decides whether a request may be sent to an endpoint. The rule is checked when the engine starts an attempt, and
+//! again right before the attempt's first byte, since the situation may have changed while the connection was
+//! established.
 //!
-//! The checks are pure functions; the caller counts refusals. A refusal at the start of an attempt indicates a fault in the
-//! decision policy, and prevents a request from being executed twice or after its deadline.
+//! The checks are pure functions; the caller counts refusals. A refusal at the start of an attempt indicates a fault in
+//! the decision policy, and prevents a request from being executed twice or after its deadline.
 
 use std::time::Instant;
 
@@ -46,8 +47,8 @@
         }
     }
 
-    /// The outcome reported to the policy. It is no evidence about the endpoint; only a draining endpoint allows a retry at
-    /// another one.
+    /// The outcome reported to the policy. It is no evidence about the endpoint; only a draining endpoint allows a
+    /// retry at another one.
     pub(crate) fn outcome(self) -> Outcome {
         match self {
             SendRefusal::Draining => Outcome::NotSentRetryable,
--- a/src/daemon/serve.rs
+++ b/src/daemon/serve.rs
@@ -1,10 +1,10 @@
-//! Starts the node and runs it until it is told to stop and every accepted request has its response.
+//! Starts the node and runs it until it is told to stop and every accepted request has been answered.
 //!
-//! Owner: `main`. Input: the configuration. Output: the end of the process, or why the node could not start. Order of the
-//! startup: signal handlers, admin listener, state of the old process, sockets, startup schedule, discovery, engine,
-//! lifecycle, hot restart, and last the acceptor. Invariants: handlers come first, since a signal that arrives early must
-//! not kill the process; the admin listener answers that the node is not ready until it is; other tasks reach the engine
-//! through its queue only. The tasks that the node starts are in its `JoinSet`; subsystems own the tasks that they start.
+//! Startup order: signal handlers, admin listener, state of the old process, sockets, startup schedule, discovery,
+//! engine, lifecycle, hot restart, acceptor. Signal handlers come first, since an early signal must not kill the
+//! process. The admin listener answers that the node is not ready until startup is complete. Other tasks reach the
+//! engine only through its queue. The node's `JoinSet` owns the tasks that the node starts; subsystems own the tasks
+//! that they start.
 
 use tokio::net::TcpListener;
 use tokio::task::{JoinError, JoinSet};
@@ -26,40 +26,40 @@
 use foundation::Prepared;
 use node::Node;
 
-/// Why the node could not start, or ended before it was told to stop.
+/// The reason for which the node could not start, or ended before it was told to stop.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ServeError {
-    /// The runtime did not start.
+    /// The async runtime could not be started.
     #[error("cannot start the runtime: {0}")]
     Runtime(#[source] std::io::Error),
-    /// The configuration is not valid.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The signal handlers can't be installed.
+    /// A signal handler cannot be installed.
     #[error(transparent)]
     Signals(#[from] SignalError),
-    /// The platform's listening socket can't be used.
+    /// The listening socket passed by the platform cannot be used.
     #[error(transparent)]
     InheritedSocket(#[from] InheritedSocketError),
-    /// The admin address can't be bound.
+    /// The admin address cannot be bound.
     #[error(transparent)]
     Admin(#[from] AdminError),
-    /// The UDP socket can't be bound.
+    /// The UDP socket cannot be bound.
     #[error(transparent)]
     PeerSocket(#[from] PeerSocketError),
-    /// The clients' address can't be bound.
+    /// The address for client connections cannot be bound.
     #[error(transparent)]
     Bind(#[from] BindError),
-    /// The engine ended, which only a panic of the decision policy does.
+    /// The engine ended, which happens only if the decision policy panics.
     #[error("the engine stopped: {0:?}")]
     EngineStopped(Result<(), JoinError>),
 }
 
-/// Runs the node until it is told to stop and every accepted request has its response.
+/// Runs the node until it is told to stop and every accepted request has been answered.
 ///
 /// # Errors
 ///
-/// The node could not start, or the engine stopped.
+/// Fails if the node could not start, or if the engine stopped.
 pub(crate) fn serve(
     platform_config: PlatformConfig,
     operator_config: OperatorConfig,
@@ -77,7 +77,7 @@
     operator_config: OperatorConfig,
     operator_path: Option<String>,
 ) -> Result<(), ServeError> {
-    // Before everything else: the default action of SIGTERM would kill the process.
+    // Installed before everything else: the default action of SIGTERM would kill the process.
     let signals = Signals::new()?;
     let Prepared {
         foundation,
@@ -111,13 +111,15 @@
         reloader,
     });
     let acceptor = node.acceptor(&admin, monitors);
-    // `admin` is dropped at the end of this function only: the queues of admin commands close with their last sender.
+    // `admin` is kept until the end of this function: the queues of admin commands close when their last sender is
+    // dropped.
     node.start_hot_restart(foundation.transfer, role, admin.clone(), start.old_process)
         .await;
     serve_until_stopped(acceptor, sockets.listener, engine_task).await
 }
 
-/// Accepts clients until the shutdown is complete. `engine_task` holds the engine's one task, which ends with this function.
+/// Serves clients until the shutdown is complete. `engine_task` holds the engine's task, which is aborted when this
+/// function returns.
 async fn serve_until_stopped(
     acceptor: Acceptor,
     listener: TcpListener,
@@ -128,7 +130,7 @@
             tracing::info!("shutdown complete");
             Ok(())
         }
-        // Only a panic ends the engine. Without an engine no request would get a response, so the process exits.
+        // The engine ends only if it panics. No request would get a response then, so the process exits.
         Some(ended) = engine_task.join_next() => Err(ServeError::EngineStopped(ended)),
     }
 }
--- a/src/daemon/serve/foundation.rs
+++ b/src/daemon/serve/foundation.rs
@@ -1,7 +1,7 @@
-//! The first steps of the startup: admin listener, state of the old process, sockets.
+//! The first steps of the startup: the admin listener, the old process's state, and the sockets.
 //!
-//! Owner: `serve`. Input: the configuration. Output: a [`Prepared`]. Invariants: the admin listener comes first, since it
-//! answers that the node is not ready; the state of the old process comes before the sockets, which may be inherited from it.
+//! The admin listener comes first, so that it can answer that the node is not ready. The old process's state comes
+//! before the sockets, which may be inherited from that process.
 
 use std::os::fd::OwnedFd;
 use std::sync::Arc;
@@ -25,24 +25,24 @@
 use crate::server::listener as client_listener;
 use crate::system::peer_socket::PeerSocket;
 
-/// What the node is built from.
+/// The result of the first steps of the startup.
 pub(super) struct Prepared {
-    /// What does not depend on an old process.
+    /// The part that does not depend on an old process.
     pub foundation: Foundation,
-    /// What the node starts from.
+    /// The state that the node starts with.
     pub start: StartingPoint,
-    /// The sockets, open.
+    /// The open sockets.
     pub sockets: Sockets,
 }
 
-/// Runs the first steps of the startup, in the order that the module's documentation gives.
+/// Runs the first steps of the startup, in the order described in the module documentation.
 ///
 /// # Errors
 ///
-/// An address can't be bound, or the inherited socket can't be used.
+/// Fails if an address cannot be bound, or if the inherited socket cannot be used.
 pub(super) async fn prepare(config: PlatformConfig) -> Result<Prepared, ServeError> {
     let mut foundation = Foundation::new(config)?;
-    // Before the steps that wait for another process or for the system: `READY` is answered meanwhile.
+    // Started first, so that `READY` is answered while later steps wait for another process or for the system.
     foundation.start_admin_listener().await?;
     let mut start = foundation.take_over().await;
     let sockets = foundation
@@ -55,21 +55,21 @@
     })
 }
 
-/// The senders of the states that the admin listener and the acceptor follow.
+/// Senders that publish the state of the process to the admin listener and the acceptor.
 pub(super) struct Publishers {
     /// The lifecycle phase.
     pub phase: watch::Sender<LifecyclePhase>,
-    /// Set once there is an endpoint list, or if the node need not wait for one.
+    /// Set once there is an endpoint list, or if the node does not have to wait for one.
     pub has_endpoints: watch::Sender<bool>,
 }
 
-/// What [`crate::lifecycle::hot_restart::HotRestart`] and the state writer are built from.
+/// Dependencies of [`crate::lifecycle::hot_restart::HotRestart`] and the state writer.
 pub(super) struct TransferContext {
-    /// The folder that two processes of this node share; only where the listening socket is inherited.
+    /// The directory shared by the processes of this node; present only if the listening socket is inherited.
     pub shared_directory: Option<SharedDirectory>,
-    /// Maintenance sets to be written to the state file there.
+    /// Requests to write maintenance sets to the state file.
     pub state_requests: mpsc::Receiver<WriteRequest>,
-    /// The old process's set, which it may have been unable to write.
+    /// The old process's maintenance set, which that process may have been unable to write.
     pub inherited_maintenance: Option<MaintenanceSet>,
     /// Publishes the connection to the other process.
     pub other_process: OtherProcessSender,
@@ -77,43 +77,43 @@
     pub ready: watch::Sender<bool>,
 }
 
-/// What exists before the state of an old process is known.
+/// The part of the node that is created before the state of an old process is known.
 pub(super) struct Foundation {
-    /// The configuration; a port 0 is replaced by the port that was bound.
+    /// The configuration, in which port 0 is replaced by the bound port.
     pub config: PlatformConfig,
-    /// The platform's listening socket (`GW_FD`), if any.
+    /// The listening socket passed by the platform (`GW_FD`), if any.
     inherited_socket: Option<OwnedFd>,
-    /// For the hot restart and the state writer.
+    /// Dependencies of hot restart and the state writer.
     pub transfer: TransferContext,
-    /// Carries out admin commands.
+    /// Executes admin commands.
     pub admin: AdminHandle,
-    /// The senders of what the handle and the acceptor follow.
+    /// Publish state to the admin handle and the acceptor.
     pub publishers: Publishers,
-    /// The receivers of the handle's queues.
+    /// Receivers of the admin handle's queues.
     pub receivers: AdminReceivers,
-    /// The tasks started so far.
+    /// Tasks started so far.
     pub tasks: JoinSet<()>,
 }
 
-/// What the node starts from.
+/// The state that the node starts with.
 pub(super) struct StartingPoint {
     /// The engine's clock.
     pub clock: Clock,
-    /// What the engine starts from.
+    /// The engine's initial state.
     pub initial_state: InitialState,
     /// Whether the old process was draining or drained.
     pub is_draining: bool,
-    /// The connection to the old process, which waits for the report that this one has taken over.
+    /// The connection to the old process, which waits for the report that this process has taken over.
     pub old_process: Option<UnixStream>,
     /// The old process's UDP socket.
     datagram_socket: Option<OwnedFd>,
 }
 
-/// The sockets that others reach this node at.
+/// The node's sockets for clients and peers.
 pub(super) struct Sockets {
     /// The UDP socket, if there are peers.
     pub peers: Option<Arc<PeerSocket>>,
-    /// The clients' listening socket.
+    /// The listening socket for client connections.
     pub listener: TcpListener,
 }
 
@@ -124,14 +124,14 @@
             .is_some()
             .then(|| SharedDirectory::new(&config.name));
         if shared_directory.is_some() {
-            // During a hot restart two processes run within the limits of one.
+            // During a hot restart, two processes share the limits of one.
             config.max_descriptors /= 2;
             config.max_memory_bytes /= 2;
         }
         let (phase, phase_reader) = watch::channel(LifecyclePhase::Serving);
         let (control, drain_requests, receivers) = handle::channels();
         let (ready, ready_reader) = watch::channel(shared_directory.is_none());
-        // False until `Node::schedule_startup` knows whether the node has to wait for a list.
+        // False until `Node::schedule_startup` has determined whether the node has to wait for a list.
         let (has_endpoints, has_endpoints_reader) = watch::channel(false);
         let (other_process, other_process_reader) = watch::channel(None);
         let (state_queue, state_requests) = state_writer::queue();
@@ -174,7 +174,7 @@
         Ok(())
     }
 
-    /// Receives the state of the old process, if any.
+    /// Receives the state of the old process, if there is one.
     async fn take_over(&mut self) -> StartingPoint {
         let received = match &self.transfer.shared_directory {
             Some(shared_directory) => hot_restart::receive_transfer(shared_directory).await,
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Starts from the state of the old process.
+    /// Starts with the state of the old process.
     fn resume(&mut self, transfer: ReceivedTransfer) -> StartingPoint {
         let state = transfer.state;
         self.transfer.inherited_maintenance = Some(state.maintenance.clone());
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Starts without another process's state.
+    /// Starts without the state of an old process.
     fn start_new(&self) -> StartingPoint {
         let initial_state = match &self.transfer.shared_directory {
             Some(directory) => InitialState::Maintenance(directory.read_maintenance_set()),
--- a/src/daemon/serve/node.rs
+++ b/src/daemon/serve/node.rs
@@ -1,7 +1,7 @@
-//! The node: starts its subsystems, one method each, and owns the tasks that it starts.
+//! The node: starts its subsystems and owns their tasks.
 //!
-//! Owner: `serve`. Input: the [`super::foundation::Foundation`]. Output: running tasks, and the engine and the acceptor, which
-//! `serve` awaits. Invariant: all subsystems share one clock, one queue to the engine and one [`ProcessStatus`].
+//! All subsystems share one clock, one queue to the engine and one [`ProcessStatus`]. The engine and the acceptor are
+//! returned to `serve`, which awaits them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,12 +32,12 @@
 use crate::resources::connection_budget::ConnectionBudget;
 use crate::resources::limits::ENGINE_QUEUE_CAPACITY;
 use crate::server::acceptor::{self, Acceptor};
-use crate::server::slow_peers::{SettingsFollower, TransferMonitors};
+use crate::server::slow_peers::{MonitorUpdater, TransferMonitors};
 use crate::system::peer_socket::{DatagramHandler, PeerSocket};
 
-/// What the subsystems are built from, and the tasks of those that are started.
+/// The dependencies of the subsystems, and the tasks of those that have been started.
 pub(super) struct Node {
-    /// The configuration; a port 0 is replaced by the port that was bound.
+    /// The configuration, in which port 0 is replaced by the bound port.
     pub config: PlatformConfig,
     /// The engine's clock.
     clock: Clock,
@@ -45,23 +45,24 @@
     queue: mpsc::Sender<Message>,
     /// The UDP socket, if there are peers.
     peers: Option<Arc<PeerSocket>>,
-    /// The role of this process, and the times of its shutdown.
+    /// The role of this process and the times of its shutdown.
     pub status: ProcessStatus,
-    /// How many connections of each kind the process may have.
+    /// Maximum numbers of connections.
     budget: ConnectionBudget,
-    /// One permit for each client connection; the acceptor takes it before `accept`, and it is returned when the
+    /// One permit per client connection. The acceptor acquires it before `accept`, and it is released when the
     /// connection is closed.
     client_permits: Arc<Semaphore>,
     /// The revision of the configured endpoint list, if that list is complete.
     known_revision: Option<u64>,
-    /// The schedule of this node's calls to discovery at startup, if the operator enabled it.
+    /// The schedule of this node's calls to discovery at startup, if the operator enabled startup scheduling.
     schedule: Option<Arc<StartupSchedule>>,
-    /// All tasks but the engine's; they are aborted when the node is dropped.
+    /// All tasks except the engine's. They are aborted when the node is dropped.
     tasks: JoinSet<()>,
 }
 
 impl Node {
-    /// A node of which only the admin listener is started, the owner of its role, and the receiver of the engine's queue.
+    /// Creates a node whose only running subsystem is the admin listener. Also returns the owner of its role and the
+    /// receiver of the engine's queue.
     pub(super) fn new(
         config: PlatformConfig,
         clock: Clock,
@@ -91,15 +92,15 @@
         (node, role_owner, messages)
     }
 
-    /// Zone failover, if the operator enabled it.
+    /// Creates zone failover, if the operator enabled it.
     pub(super) fn zone_failover(&self, operator_config: &OperatorConfig) -> Option<ZoneFailover> {
         let config = &self.config;
         let now = self.clock.now();
         ZoneFailover::new(&operator_config.zones, &config.settings, config.seed, now)
     }
 
-    /// Schedules this node's calls to discovery among those of the fleet, where the operator enabled that. Only a node with
-    /// a schedule and without a list has to wait for one before it is ready.
+    /// Schedules this node's calls to discovery among those of the fleet, if the operator enabled startup scheduling. A
+    /// node has to wait for an endpoint list before it is ready only if it has a schedule and no configured list.
     pub(super) fn schedule_startup(
         &mut self,
         operator_config: &OperatorConfig,
@@ -116,8 +117,8 @@
         }
     }
 
-    /// Starts the registries that the operator enabled. Returns the queue for discovery's updates: to the task that merges
-    /// them with the registries', or to the engine.
+    /// Starts the registries that the operator enabled. Returns the queue for updates from discovery: that of the task
+    /// that merges them with updates from the registries, or that of the engine.
     pub(super) fn start_sources(&mut self, reloaded: &ReloadedConfig) -> mpsc::Sender<Message> {
         let queue = self.queue.clone();
         let (config, tasks) = (&self.config, &mut self.tasks);
@@ -135,12 +136,12 @@
         };
         let permits = self.client_permits.clone();
         let operator = reloaded.operator_config.clone();
-        let (follower, monitors) = SettingsFollower::new(operator, self.clock, permits, capacity);
-        self.tasks.spawn(follower.run());
+        let (updater, monitors) = MonitorUpdater::new(operator, self.clock, permits, capacity);
+        self.tasks.spawn(updater.run());
         monitors
     }
 
-    /// The engine, which starts with the configured endpoint list.
+    /// Creates the engine.
     pub(super) fn engine(
         &self,
         initial_state: InitialState,
@@ -156,12 +157,12 @@
             zones,
         };
         let engine = Engine::new(&self.config, dependencies);
-        // The port numbers in this line are read by the tests' process drivers, so its form stays.
+        // The format of this line must not change: test drivers read the port numbers from it.
         tracing::info!("serving {}", self.config.summary());
         engine
     }
 
-    /// Starts to receive the datagrams of peers, if there are peers.
+    /// Starts to receive datagrams, if there are peers.
     pub(super) fn start_gossip(&mut self) {
         if let Some(peers) = &self.peers {
             let schedule = self.schedule.clone();
@@ -172,13 +173,14 @@
         }
     }
 
-    /// Starts the watch of discovery's endpoint list.
+    /// Starts watching discovery's endpoint list.
     pub(super) fn start_endpoint_watch(
         &mut self,
         discovery: watch::Receiver<SocketAddr>,
         updates: mpsc::Sender<Message>,
     ) {
-        // The task that merges sources needs a complete list first, and every confirmation that the list is current.
+        // The task that merges sources needs a complete list first, and every confirmation that the list is still
+        // current.
         let merges_sources = !updates.same_channel(&self.queue);
         let start = WatchStart {
             revision: self.known_revision.filter(|_| !merges_sources),
@@ -192,7 +194,7 @@
         ));
     }
 
-    /// The deadlines of a shutdown, from the longest request deadline of any class.
+    /// Computes the deadlines of a shutdown from the longest request deadline of any class.
     pub(super) fn shutdown_deadlines(&self) -> ShutdownDeadlines {
         let classes = &self.config.settings.policy.classes;
         let longest = classes.iter().map(|class| class.deadline_ns).max();
@@ -204,7 +206,7 @@
         self.tasks.spawn(driver.run());
     }
 
-    /// The acceptor of client connections.
+    /// Creates the acceptor of client connections.
     pub(super) fn acceptor(&self, admin: &AdminHandle, monitors: TransferMonitors) -> Acceptor {
         let dependencies = acceptor::Dependencies {
             clock: self.clock,
@@ -218,8 +220,8 @@
         Acceptor::new(&self.config, dependencies)
     }
 
-    /// Starts hot restart and the state writer. Returns once this process is ready: at once, or when the old process has
-    /// confirmed that this one has taken over.
+    /// Starts hot restart and the state writer. Returns once this process is ready: immediately, or when the old
+    /// process has confirmed that this process has taken over.
     pub(super) async fn start_hot_restart(
         &mut self,
         transfer: TransferContext,
@@ -228,7 +230,7 @@
         old_process: Option<UnixStream>,
     ) {
         let Some(shared_directory) = transfer.shared_directory else {
-            // Without another process the role never changes; its owner must not be dropped (see `RoleOwner::closed`).
+            // Without another process the role never changes. Its owner must not be dropped (see `RoleOwner::closed`).
             self.tasks.spawn(async move { role.closed().await });
             return;
         };
@@ -249,7 +251,7 @@
         let (active, became_active) = oneshot::channel();
         let takes_over = old_process.is_some();
         self.tasks.spawn(hot_restart.run(old_process, active));
-        // An error means that the task has ended; the node serves nonetheless.
+        // An error means that the task has ended; the node serves without it.
         let _ = became_active.await;
         self.tasks.spawn(writer.run());
         transfer.ready.send_replace(true);
--- a/src/daemon/server/acceptor.rs
+++ b/src/daemon/server/acceptor.rs
@@ -1,9 +1,7 @@
-//! Accepts clients' connections within a budget, and starts a task for each.
+//! Accepts client connections within a budget and starts a task for each.
 //!
-//! Owner: `serve`. Input: the listener, the phase of the shutdown, the role of this process. Output: connection tasks.
-//! Invariants: what the kernel accepted for this process is served before the listener closes, unless another process
-//! has taken over; one loop at a time accepts from the listener; a connection's permit is returned once, when the connection
-//! is dropped.
+//! Only one loop at a time accepts from the listener. Connections that the kernel has accepted for this process are
+//! served before the listener closes, unless another process has taken over. Dropping a connection releases its permit.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -26,30 +24,30 @@
 use crate::server::connection_task;
 use crate::server::context::ServerContext;
 use crate::server::framing::{GuardedStream, RequestGuard};
-use crate::server::listener::{accept_failure, AcceptFailure};
+use crate::server::listener::{classify_accept_error, AcceptErrorKind};
 use crate::server::service::RequestService;
 use crate::server::slow_peers::TransferMonitors;
 
-/// Wait after an error of `accept`, so that a lasting one does not use up the CPU.
+/// Delay after an error of `accept`, so that a persistent error does not cause a busy loop.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// The bodies of all waiting requests may take the configured memory divided by this.
+/// Fraction of the configured memory available to the bodies of pending requests, as a divisor.
 const BODY_MEMORY_DIVISOR: usize = 8;
 
-/// What the acceptor is made from.
+/// Dependencies of the acceptor.
 pub(crate) struct Dependencies {
     /// The engine's clock.
     pub clock: Clock,
-    /// One permit for each connection of a client, those that only reject among them.
+    /// One permit per client connection, including those whose requests are only rejected.
     pub permits: Arc<Semaphore>,
     /// Slow-peer protection.
     pub monitors: TransferMonitors,
     /// The engine's queue.
     pub queue: mpsc::Sender<Message>,
-    /// The phase of the shutdown.
+    /// The lifecycle phase.
     pub phases: watch::Receiver<LifecyclePhase>,
-    /// True once there is an endpoint list to decide from.
+    /// True once there is an endpoint list.
     pub has_endpoint_list: watch::Receiver<bool>,
-    /// The role of this process, and the times of its shutdown.
+    /// The role of this process and the times of its shutdown.
     pub status: ProcessStatus,
 }
 
@@ -64,7 +62,7 @@
 }
 
 impl Acceptor {
-    /// An acceptor without connections.
+    /// Creates an acceptor without connections.
     pub(crate) fn new(config: &PlatformConfig, dependencies: Dependencies) -> Self {
         let Dependencies {
             clock,
@@ -97,15 +95,16 @@
         }
     }
 
-    /// Serves until the process is to end and everything that was accepted has its response.
+    /// Serves until the process has to exit and all accepted requests have been answered, or until the shutdown
+    /// deadline.
     pub(crate) async fn serve(self, listener: TcpListener) {
         let mut phases = self.phases.clone();
-        // In this order: where this process is active again, `emptied_after_replacement` returns the permits that it took
-        // before `accept` needs one, and would evict an idle client for it.
+        // The order matters: when this process becomes active again, `wait_until_replaced_and_empty` has to release its
+        // permits before `accept` needs one, which would otherwise evict an idle client.
         tokio::select! {
             biased;
             _ = phases.wait_for(|phase| *phase == LifecyclePhase::Closing) => {}
-            () = self.emptied_after_replacement() => {}
+            () = self.wait_until_replaced_and_empty() => {}
             () = self.accept(&listener) => {}
         }
         let exit_at = self
@@ -113,9 +112,9 @@
             .get()
             .map_or_else(Instant::now, |times| times.exit_at);
         match *self.role.borrow() {
-            // The kernel's queue belongs to the other process.
+            // The other process accepts the connections in the kernel's queue.
             ProcessRole::Superseded => drop(listener),
-            _ => self.accept_waiting(listener, exit_at).await,
+            _ => self.drain_accept_queue(listener, exit_at).await,
         }
         let emptied = self.admission.wait_until_empty();
         if tokio::time::timeout_at(exit_at.into(), emptied)
@@ -129,16 +128,16 @@
         }
     }
 
-    /// Ends once this process has to stop, another one took over and still runs, and no connection is left.
-    async fn emptied_after_replacement(&self) {
+    /// Completes once this process has to stop, another one has taken over and still runs, and no connection is left.
+    async fn wait_until_replaced_and_empty(&self) {
         let (mut phases, mut role) = (self.phases.clone(), self.role.clone());
-        // Fails only without a sender of phases, which the process has until it exits. The same holds for the role.
+        // Fails only if the sender has been dropped, which happens when the process exits. The same holds for the role.
         let _ = phases
             .wait_for(|phase| *phase == LifecyclePhase::TerminatingReplaced)
             .await;
         loop {
             let _ = role.wait_for(|role| *role == ProcessRole::Superseded).await;
-            // Not beyond that: it takes the permits that new connections need.
+            // Stops waiting on a change of role, since `wait_until_empty` holds the permits that new connections need.
             tokio::select! {
                 biased;
                 _ = role.wait_for(|role| *role != ProcessRole::Superseded) => {}
@@ -152,7 +151,7 @@
         let accept_failures = ConditionLog::default();
         monitors.mark_changed();
         loop {
-            // New connections belong to the other process, for as long as that runs.
+            // New connections are accepted by the other process while that runs.
             if role
                 .wait_for(|role| *role != ProcessRole::Superseded)
                 .await
@@ -161,7 +160,7 @@
                 return;
             }
             if monitors.has_changed().unwrap_or(false) {
-                bound_kernel_buffers(listener, monitors.borrow_and_update().as_ref());
+                limit_send_buffers(listener, monitors.borrow_and_update().as_ref());
             }
             let Some(permit) = self.admission.acquire_permit().await else {
                 return;
@@ -178,9 +177,9 @@
                 }
                 Err(error) => {
                     if accept_failures.begins() {
-                        tracing::warn!(%error, "accept of client connections failed");
+                        tracing::warn!(%error, "cannot accept client connections");
                     }
-                    if accept_failure(&error) != AcceptFailure::OneConnection {
+                    if classify_accept_error(&error) != AcceptErrorKind::Connection {
                         tokio::time::sleep(ACCEPT_BACKOFF).await;
                     }
                 }
@@ -188,20 +187,21 @@
         }
     }
 
-    /// Serves what the kernel has accepted: none of it may be lost with the listener. The kernel itself is queried, as the
-    /// reactor may not know yet of the last ones; a connection without a permit waits for one.
-    async fn accept_waiting(&self, listener: TcpListener, exit_at: Instant) {
+    /// Serves the connections in the kernel's accept queue, which would be lost when the listener closes. Queries the
+    /// kernel directly, since the reactor may not have noticed the latest connections yet. Waits for permits if none is
+    /// available.
+    async fn drain_accept_queue(&self, listener: TcpListener, exit_at: Instant) {
         let Ok(listener) = listener.into_std() else {
             return;
         };
         loop {
             let (stream, address) = match listener.accept() {
                 Ok(accepted) => accepted,
-                Err(error) => match accept_failure(&error) {
-                    AcceptFailure::NoneWaiting => return,
-                    AcceptFailure::OneConnection => continue,
-                    AcceptFailure::System if Instant::now() >= exit_at => return,
-                    AcceptFailure::System => {
+                Err(error) => match classify_accept_error(&error) {
+                    AcceptErrorKind::QueueEmpty => return,
+                    AcceptErrorKind::Connection => continue,
+                    AcceptErrorKind::System if Instant::now() >= exit_at => return,
+                    AcceptErrorKind::System => {
                         tokio::time::sleep(ACCEPT_BACKOFF).await;
                         continue;
                     }
@@ -218,28 +218,29 @@
                 Ok(stream) => self.serve_connection(stream, address, permit),
                 Err(error) => {
                     event_counts::count(CountedEvent::AcceptedConnectionFailed);
-                    tracing::warn!(%error, "accepted client connection could not be served");
+                    tracing::warn!(%error, "cannot serve an accepted client connection");
                 }
             }
         }
     }
 
-    /// Starts the task of a connection. Nothing joins it: its permit stands for it, `serve` ends once all permits are back
-    /// or the time of the shutdown is over, and what is left then ends with the runtime.
+    /// Starts the task of a connection. The task is not joined: `serve` ends once all permits have been released or the
+    /// shutdown deadline has passed, and remaining tasks end with the runtime.
     fn serve_connection(
         &self,
         stream: TcpStream,
         address: SocketAddr,
         permit: OwnedSemaphorePermit,
     ) {
-        // Without it responses are only slower.
+        // Ignored: without TCP_NODELAY responses are slower, but not wrong.
         let _ = stream.set_nodelay(true);
         let AdmittedConnection {
             connection,
-            ticket,
+            registration,
             sheds_load,
         } = self.admission.admit(&stream, address, permit);
-        let stream = GuardedStream::new(stream, RequestGuard::new(connection.clone(), ticket));
+        let stream =
+            GuardedStream::new(stream, RequestGuard::new(connection.clone(), registration));
         let service = RequestService {
             context: self.context.clone(),
             sheds_load,
@@ -249,8 +250,9 @@
     }
 }
 
-/// Bounds what the kernel buffers of responses, by the listener, for all connections that are accepted from now on.
-fn bound_kernel_buffers(listener: &TcpListener, monitor: Option<&Arc<TransferMonitor>>) {
+/// Limits the kernel's send buffers for responses. The options are set on the listener and apply to all connections
+/// accepted from now on.
+fn limit_send_buffers(listener: &TcpListener, monitor: Option<&Arc<TransferMonitor>>) {
     let settings = monitor
         .map(|monitor| monitor.settings())
         .filter(|settings| settings.enabled.0);
@@ -261,7 +263,7 @@
     if let Err(error) =
         kernel::limit_send_buffer(listener, settings.send_buffer.0 as usize, not_sent)
     {
-        tracing::warn!(%error, "send buffer of accepted connections could not be limited");
+        tracing::warn!(%error, "cannot limit the send buffers of client connections");
     }
 }
 
--- a/src/daemon/server/acceptor/tests.rs
+++ b/src/daemon/server/acceptor/tests.rs
@@ -16,20 +16,20 @@
 
 fn acceptor() -> Acceptor {
     let (phase, phases) = watch::channel(LifecyclePhase::Serving);
-    // The sender of the phases lives as long as the process.
+    // In the daemon, the sender of the phases lives as long as the process.
     std::mem::forget(phase);
-    acceptor_following(phases)
+    acceptor_with_phases(phases)
 }
 
-fn acceptor_following(phases: watch::Receiver<LifecyclePhase>) -> Acceptor {
+fn acceptor_with_phases(phases: watch::Receiver<LifecyclePhase>) -> Acceptor {
     let mut config = PlatformConfig::sample();
     config.max_descriptors = 64;
     let (queue, _) = mpsc::channel(8);
     let permits = ConnectionBudget::new(config.max_descriptors).client_permits();
-    let (role, follower) = watch::channel(ProcessRole::Active);
+    let (role, role_receiver) = watch::channel(ProcessRole::Active);
     std::mem::forget(role);
     let status = ProcessStatus {
-        role: follower,
+        role: role_receiver,
         shutdown_times: Arc::default(),
     };
     let dependencies = Dependencies {
@@ -45,7 +45,7 @@
 }
 
 impl Acceptor {
-    /// New connections without a socket, which await their first request.
+    /// Adds connections without a socket that await their first request.
     fn insert(&self, count: usize) -> Vec<Arc<ClientConnection>> {
         let permit = || {
             self.admission
@@ -59,7 +59,7 @@
             .collect()
     }
 
-    /// The client's end of a new connection.
+    /// Serves a new connection and returns the client's end.
     async fn connection(&self) -> TcpStream {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let client = TcpStream::connect(listener.local_addr().expect("an address"));
@@ -83,7 +83,8 @@
     idle[1].begin_request();
     idle[1].await_request();
     let _client = acceptor.connection().await;
-    // The others are as new: an idle connection that had a request is evicted before them.
+    // The other connections are within their grace period: an idle connection that had a request is evicted before
+    // them.
     let evicted = idle.remove(1);
     let evicted = tokio::time::timeout(Duration::from_secs(30), evicted.evicted.notified()).await;
     assert!(
@@ -111,7 +112,7 @@
         response.starts_with("HTTP/1.1 503 ") && response.contains("retry-after: 0.200\r\n"),
         "{response}"
     );
-    // Its permit is given back.
+    // Its permit has been released.
     let spare = acceptor
         .admission
         .permits
@@ -124,11 +125,12 @@
     );
 }
 
-/// Three connections that the kernel accepted and the reactor does not know of: nothing is awaited in between.
+/// Guards against losing connections in the kernel's accept queue when the listener closes. The reactor has not noticed
+/// the three connections, since nothing is awaited in between.
 #[tokio::test]
 async fn connection_accepted_by_the_kernel_is_served_after_the_listener_closes_even_without_a_free_permit(
 ) {
-    for crowded in [false, true] {
+    for no_free_permit in [false, true] {
         let acceptor = acceptor();
         let mut address = "127.0.0.1:0".parse().expect("an address");
         let listener = listen(&mut address, 16).await.expect("a listener");
@@ -136,7 +138,7 @@
             .map(|_| std::net::TcpStream::connect(address).expect("accepted by the kernel"))
             .collect();
         let all = (acceptor.admission.budget.clients + acceptor.admission.budget.spare) as u32;
-        let held = crowded.then(|| {
+        let held = no_free_permit.then(|| {
             acceptor
                 .admission
                 .permits
@@ -144,32 +146,32 @@
                 .try_acquire_many_owned(all)
                 .expect("free")
         });
-        let ends = Instant::now() + Duration::from_secs(30);
-        let frees = async {
+        let exit_at = Instant::now() + Duration::from_secs(30);
+        let release = async {
             tokio::task::yield_now().await;
             drop(held);
         };
-        tokio::join!(acceptor.accept_waiting(listener, ends), frees);
+        tokio::join!(acceptor.drain_accept_queue(listener, exit_at), release);
         assert!(
             std::net::TcpStream::connect(address).is_err(),
-            "the listener has gone"
+            "the listener is closed"
         );
         for client in &mut clients {
-            let (stream, mut piece) = (client.try_clone().expect("a copy"), [0; 12]);
+            let (stream, mut start) = (client.try_clone().expect("a copy"), [0; 12]);
             std::io::Write::write_all(client, b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
                 .expect("open");
             stream.set_nonblocking(true).expect("set");
             let mut stream = TcpStream::from_std(stream).expect("a stream");
-            let read = tokio::time::timeout(Duration::from_secs(30), stream.read_exact(&mut piece));
+            let read = tokio::time::timeout(Duration::from_secs(30), stream.read_exact(&mut start));
             read.await
                 .expect("in time")
                 .expect("an answer, and no reset");
-            assert_eq!(&piece, b"HTTP/1.1 200");
+            assert_eq!(&start, b"HTTP/1.1 200");
         }
     }
 }
 
-/// Reads until the connection ends.
+/// Reads until the server closes the connection.
 async fn read_to_end(client: &mut TcpStream) -> String {
     let mut response = Vec::new();
     let read = client.read_to_end(&mut response);
@@ -178,7 +180,8 @@
     String::from_utf8(response).expect("text")
 }
 
-/// The request is in the kernel before the eviction, and the connection's task has not run yet: the reactor knows nothing.
+/// Guards against closing a connection whose request is already in the kernel's buffer. The connection's task has not
+/// run before the eviction, so the reactor has not noticed the request.
 #[tokio::test]
 async fn evicted_new_connection_whose_request_has_arrived_is_rejected_and_not_closed_without_an_answer(
 ) {
@@ -240,14 +243,15 @@
     assert_eq!(read_to_end(&mut client).await, "");
 }
 
-/// The client connected just before the process began to close idle connections, and has not written yet.
+/// Guards against closing a connection whose client connected right before the process began to close idle connections,
+/// and has not sent its request yet.
 #[tokio::test]
 async fn new_connection_gets_its_answer_although_the_process_begins_to_close_idle_ones() {
     let (phase, phases) = watch::channel(LifecyclePhase::Terminating);
-    let acceptor = acceptor_following(phases);
+    let acceptor = acceptor_with_phases(phases);
     let mut client = acceptor.connection().await;
     phase.send_replace(LifecyclePhase::Closing);
-    // The connection's task sees the phase before the client goes on.
+    // The connection's task sees the new phase before the client sends its request.
     for _ in 0..100 {
         tokio::task::yield_now().await;
     }
--- a/src/daemon/server/admission.rs
+++ b/src/daemon/server/admission.rs
@@ -1,7 +1,7 @@
-//! Decides which new connections get a permit, which idle ones are evicted for them, and which only get rejections.
+//! Admits new client connections: provides permits, evicts idle connections when permits are short, and marks the
+//! connections whose requests are only rejected.
 //!
-//! Owner: the acceptor. Input: new connections. Output: permits, evictions, and whether a connection sheds load. Invariants:
-//! no more connections than there are permits; a permit is returned once, when its connection is dropped.
+//! The number of connections never exceeds the number of permits. Dropping a connection releases its permit.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,44 +19,45 @@
 };
 use crate::server::slow_peers::TransferMonitors;
 
-/// Wait for a permit before the next connection is evicted: by then the grace of one more may be over.
+/// How long to wait for a permit before trying to evict another connection, whose grace period may have ended
+/// meanwhile.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(50);
 
 /// See the [module documentation](self).
 pub(super) struct ConnectionAdmission {
-    /// One permit for each connection of a client, those that only reject among them.
+    /// One permit per client connection, including those whose requests are only rejected.
     pub permits: Arc<Semaphore>,
     /// The connections that await a request.
     pub table: Arc<ConnectionTable>,
-    /// How many connections there may be.
+    /// Maximum numbers of connections.
     pub budget: ConnectionBudget,
-    /// Slow-peer protection, where it is on.
+    /// Slow-peer protection.
     pub monitors: TransferMonitors,
     /// The clock of slow-peer protection.
     pub clock: Clock,
-    /// New connections are being rejected.
+    /// Active while new connections are rejected.
     shedding: ConditionLog,
 }
 
-/// A new connection, admitted.
+/// A newly admitted connection.
 pub(super) struct AdmittedConnection {
-    /// Its entry in the connection table; holds its permit.
+    /// The connection's state, which holds its permit.
     pub connection: Arc<ClientConnection>,
-    /// Its registration with slow-peer protection, if that is enabled. It refers to the stream's descriptor, so it has to be
-    /// dropped before the stream.
-    pub ticket: Option<MonitoredConnection>,
-    /// It gets nothing but rejections.
+    /// Its registration with slow-peer protection, if that is enabled. It refers to the stream's descriptor, so it has
+    /// to be dropped before the stream.
+    pub registration: Option<MonitoredConnection>,
+    /// Whether all its requests are rejected.
     pub sheds_load: bool,
 }
 
-/// A new connection as slow-peer protection knows it.
-struct MonitorEntry {
+/// A connection's monitor and its registration with it.
+struct MonitorRegistration {
     monitor: Arc<TransferMonitor>,
-    ticket: MonitoredConnection,
+    registration: MonitoredConnection,
 }
 
 impl ConnectionAdmission {
-    /// Admission with no connection yet.
+    /// Creates the admission control of an acceptor without connections.
     pub(super) fn new(
         permits: Arc<Semaphore>,
         budget: ConnectionBudget,
@@ -73,9 +74,9 @@
         }
     }
 
-    /// Ends once no connection is left.
+    /// Completes once no connection is left.
     pub(super) async fn wait_until_empty(&self) {
-        // The permits are never closed; if they were, no connection could be left.
+        // Fails only if the semaphore is closed, which never happens.
         let _ = self.permits.acquire_many(self.max_connections()).await;
     }
 
@@ -83,12 +84,13 @@
         (self.budget.clients + self.budget.spare) as u32
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     pub(super) fn open_connections(&self) -> usize {
         self.budget.clients + self.budget.spare - self.permits.available_permits()
     }
 
-    /// A permit for the next connection; where all are taken, the connection that is idle longest is evicted for it.
+    /// Waits for a permit for the next connection. While none is available, evicts the connections that have been idle
+    /// longest.
     pub(super) async fn acquire_permit(&self) -> Option<OwnedSemaphorePermit> {
         loop {
             if self.permits.available_permits() == 0 {
@@ -101,8 +103,8 @@
         }
     }
 
-    /// Evicts the connection that is idle longest; where none is idle, slow-peer protection aborts the worst of those
-    /// that do not read what they asked for.
+    /// Evicts the connection that has been idle longest. If none is idle, slow-peer protection aborts the connection of
+    /// the worst slow reader. Returns whether a connection was evicted or aborted.
     pub(super) fn evict_one(&self, grace: Duration) -> bool {
         let now = self.clock.now();
         let monitor = self.monitors.borrow().clone();
@@ -110,7 +112,7 @@
             || monitor.is_some_and(|monitor| monitor.abort_one_for_connection_slot(now))
     }
 
-    /// Enters a new connection into the table and registers it with slow-peer protection.
+    /// Adds a new connection to the table and registers it with slow-peer protection.
     pub(super) fn admit(
         &self,
         stream: &TcpStream,
@@ -118,16 +120,19 @@
         permit: OwnedSemaphorePermit,
     ) -> AdmittedConnection {
         let aborted = Arc::new(Notify::new());
-        let entry = self.join_monitor(stream, address, &aborted);
+        let entry = self.register_with_monitor(stream, address, &aborted);
         let sheds_load = self.decide_shedding(entry.as_ref());
-        let (monitored, ticket) = match entry {
-            Some(MonitorEntry { monitor, ticket }) => {
+        let (monitored, registration) = match entry {
+            Some(MonitorRegistration {
+                monitor,
+                registration,
+            }) => {
                 let monitored = MonitoredTransfer {
                     monitor,
-                    id: ticket.id(),
-                    peer_network: ticket.peer_network(),
+                    id: registration.id(),
+                    peer_network: registration.peer_network(),
                 };
-                (Some(monitored), Some(ticket))
+                (Some(monitored), Some(registration))
             }
             None => (None, None),
         };
@@ -135,44 +140,48 @@
         connection.socket.attach(stream);
         AdmittedConnection {
             connection,
-            ticket,
+            registration,
             sheds_load,
         }
     }
 
     /// Registers a new connection with slow-peer protection, if that is enabled.
-    fn join_monitor(
+    fn register_with_monitor(
         &self,
         stream: &TcpStream,
         address: SocketAddr,
         aborted: &Arc<Notify>,
-    ) -> Option<MonitorEntry> {
+    ) -> Option<MonitorRegistration> {
         let monitor = self.monitors.borrow().as_ref()?.clone();
         let aborted = aborted.clone();
-        // SAFETY: the ticket goes into `RequestGuard`, which `CountingIo` drops before the stream, and before it returns
+        // SAFETY: the registration is moved into `RequestGuard`, which `CountingIo` drops before it drops or returns
         // the stream.
         let socket = unsafe { borrow_descriptor(stream) };
         let now = self.clock.now();
-        let ticket = monitor.register(now, address.ip(), socket, move || aborted.notify_one());
-        Some(MonitorEntry { monitor, ticket })
+        let registration =
+            monitor.register(now, address.ip(), socket, move || aborted.notify_one());
+        Some(MonitorRegistration {
+            monitor,
+            registration,
+        })
     }
 
-    /// Whether a new connection gets nothing but rejections.
-    fn decide_shedding(&self, entry: Option<&MonitorEntry>) -> bool {
+    /// Decides whether all requests of a new connection are rejected.
+    fn decide_shedding(&self, entry: Option<&MonitorRegistration>) -> bool {
         let max = self.budget.clients;
         let open = self.open_connections();
-        // Clients that hold as many connections as they may open no others, and would have to reject requests of their
-        // own: idle connections are evicted before that point. Where none is idle, the spare permits serve to reject: a
-        // connection that is not accepted would only hang.
+        // Clients whose connection pools are at their limit open no new connections, and would have to reject requests
+        // of their own, so idle connections are evicted before all permits are taken. If none is idle, the spare
+        // permits are used for connections that are only rejected: a connection that is not accepted would hang.
         let evicted = open > max * 3 / 4 && self.evict_one(FIRST_REQUEST_GRACE);
         let is_over_limit = open > max;
-        // A connection whose network has no slot left takes one of the permits for rejecting.
-        let has_network_slot = entry.is_none_or(|entry| entry.ticket.has_slot());
+        // A connection whose network has no slot left is only rejected.
+        let has_network_slot = entry.is_none_or(|entry| entry.registration.has_slot());
         let sheds_load = is_over_limit && !evicted || !has_network_slot;
         if sheds_load && has_network_slot && self.shedding.begins() {
             tracing::warn!(
                 max_connections = max,
-                "client connections at their limit, new ones are rejected"
+                "client connection limit reached, rejecting requests on new connections"
             );
         } else if !is_over_limit {
             self.shedding.ends();
--- a/src/daemon/server/client_socket.rs
+++ b/src/daemon/server/client_socket.rs
@@ -1,8 +1,8 @@
-//! Reads from a client's socket itself whether the client has disconnected: the reactor learns of that only when it runs
-//! next, and a process that had stalled would first send attempts for clients that have disconnected.
+//! Detects a client's disconnect by reading its socket directly.
 //!
-//! Owner: the client connection; requests that are pending share it. Input: the descriptor of the connection's stream.
-//! Output: whether the kernel has the end of the connection. Invariant: the descriptor is that of an open stream, or none.
+//! The reactor learns of a disconnect only when it runs next, so a process that has stalled would first send attempts
+//! for clients that have already disconnected. The client connection and its pending requests share this state; it
+//! holds the descriptor of an open stream, or none.
 
 use std::mem::MaybeUninit;
 use std::os::fd::{AsRawFd, BorrowedFd, RawFd};
@@ -14,28 +14,28 @@
 /// See the [module documentation](self).
 #[derive(Debug, Default)]
 pub(crate) struct ClientSocket {
-    /// Protects the descriptor from being closed while it is peeked at; held for one system call.
+    /// The mutex prevents the descriptor from being closed during a peek; it is held for one system call.
     descriptor: Mutex<Option<RawFd>>,
 }
 
 impl ClientSocket {
-    /// The stream is open from here on, until [`ClientSocket::detach`].
+    /// Sets the descriptor of an open stream, which has to stay open until [`ClientSocket::detach`].
     pub(crate) fn attach(&self, stream: &TcpStream) {
         *self.lock() = Some(stream.as_raw_fd());
     }
 
-    /// The stream is about to be closed, or to leave its guard.
+    /// Clears the descriptor, before the stream is closed or taken out of its guard.
     pub(crate) fn detach(&self) {
         *self.lock() = None;
     }
 
-    /// True if the client closed or reset its connection; bytes that lie before its end hide that.
+    /// True if the client has closed or reset the connection. Unread bytes before the end hide a close.
     pub(crate) fn is_closed(&self) -> bool {
         let descriptor = self.lock();
         let Some(descriptor) = *descriptor else {
             return false;
         };
-        // SAFETY: the stream is open: `RequestGuard` detaches it when it is dropped, which is before the stream is.
+        // SAFETY: the stream is open, since `RequestGuard` is dropped before the stream and detaches it.
         let descriptor = unsafe { BorrowedFd::borrow_raw(descriptor) };
         let peeked = SockRef::from(&descriptor).peek(&mut [MaybeUninit::uninit()]);
         match peeked {
@@ -48,7 +48,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Option<RawFd>> {
-        // No code panics while it holds the lock; if it did, the descriptor would still be valid.
+        // No code panics while it holds the lock, and even then the descriptor would be valid.
         self.descriptor
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/src/daemon/server/client_socket/tests.rs
+++ b/src/daemon/server/client_socket/tests.rs
@@ -4,7 +4,7 @@
 
 use super::ClientSocket;
 
-/// A client's end, and the daemon's.
+/// The client's end and the daemon's end of a connection.
 async fn connection() -> (std::net::TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
@@ -24,7 +24,7 @@
     assert!(socket.is_closed(), "closed");
     socket.detach();
     drop(stream);
-    assert!(!socket.is_closed(), "no stream any more");
+    assert!(!socket.is_closed(), "no stream any longer");
 }
 
 #[tokio::test]
--- a/src/daemon/server/connection_table.rs
+++ b/src/daemon/server/connection_table.rs
@@ -1,8 +1,7 @@
-//! The table of the client connections that await a request, in the order in which they are evicted when permits are short.
+//! The table of client connections that await a request, in the order in which they are evicted when permits are short.
 //!
-//! Owner: the acceptor; each [`ClientConnection`] holds a reference, and adds and removes itself. Input: connections that
-//! begin to await a request, or no longer do. Output: notifications to close. Invariant: a connection that awaits a request
-//! is in the table, once.
+//! Each [`ClientConnection`] holds a reference to the table, and adds and removes itself. A connection that awaits a
+//! request is in the table exactly once.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
@@ -14,11 +13,11 @@
 
 pub(crate) use client_connection::{ClientConnection, MonitoredTransfer};
 
-/// Time after its start before which a connection is neither evicted nor closed by the shutdown: its first request may be
-/// on its way, and would get no response.
+/// A new connection is neither evicted nor closed by a shutdown for this long: its first request may already be in
+/// transit and would get no response.
 pub(crate) const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(250);
 
-/// The order of eviction: connections without any request first, then by the time from which they await one.
+/// The order of eviction: connections without any request first, then in the order in which they began to await one.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionKey {
     has_begun_request: bool,
@@ -26,7 +25,7 @@
 }
 
 impl EvictionKey {
-    /// Before all connections that did, or did not, begin a request.
+    /// The lower bound of all connections that have, or have not, begun a request.
     fn first(has_begun_request: bool) -> Self {
         EvictionKey {
             has_begun_request,
@@ -36,22 +35,22 @@
 }
 
 /// An entry of the table.
-struct AwaitingConnection {
+struct TableEntry {
     connection: Weak<ClientConnection>,
     since: Instant,
 }
 
-/// The connections that await a request, in the order of their eviction.
+/// The connections that await a request, in eviction order.
 #[derive(Default)]
-struct Awaiting {
-    /// The position that was assigned last; positions are never reused.
+struct EvictionQueue {
+    /// The last assigned position; positions are never reused.
     last_position: u64,
-    connections: BTreeMap<EvictionKey, AwaitingConnection>,
+    connections: BTreeMap<EvictionKey, TableEntry>,
 }
 
-impl Awaiting {
-    /// The first connection from a key on that may be evicted. One whose response is still being written at this moment of
-    /// its monitor's clock is not idle: once notified, it would first write the rest, at the pace of its reader.
+impl EvictionQueue {
+    /// Returns the first connection at or after `from` that may be evicted. A connection whose response is still being
+    /// written at `now`, on the monitor's clock, is not idle: it would close only after its client has read the rest.
     fn first_idle(&self, from: EvictionKey, now: u64) -> Option<EvictionCandidate> {
         self.connections.range(from..).find_map(|(key, entry)| {
             let connection = entry.connection.upgrade()?;
@@ -70,19 +69,19 @@
     since: Instant,
 }
 
-/// All connections that await a request.
+/// See the [module documentation](self).
 pub(crate) struct ConnectionTable {
-    /// Protects order and entries of the table; held for one insertion, removal or search, never across a wait.
-    awaiting: Mutex<Awaiting>,
-    /// When the table was set up: idle times count from here.
-    origin: Instant,
+    /// Held for one insertion, removal or search, never across an await point.
+    queue: Mutex<EvictionQueue>,
+    /// Reference time of the connections' idle times.
+    epoch: Instant,
 }
 
 impl Default for ConnectionTable {
     fn default() -> Self {
         ConnectionTable {
-            awaiting: Mutex::default(),
-            origin: Instant::now(),
+            queue: Mutex::default(),
+            epoch: Instant::now(),
         }
     }
 }
@@ -90,42 +89,42 @@
 impl ConnectionTable {
     /// Adds a connection that awaits a request from now on.
     fn add(&self, connection: &Arc<ClientConnection>) {
-        let mut awaiting = self.lock();
-        awaiting.last_position += 1;
-        let position = awaiting.last_position;
+        let mut queue = self.lock();
+        queue.last_position += 1;
+        let position = queue.last_position;
         connection.set_position(position);
         let key = EvictionKey {
             has_begun_request: connection.has_begun_request(),
             position,
         };
-        let entry = AwaitingConnection {
+        let entry = TableEntry {
             connection: Arc::downgrade(connection),
             since: Instant::now(),
         };
-        awaiting.connections.insert(key, entry);
+        queue.connections.insert(key, entry);
     }
 
-    /// Removes a connection that was added at this position.
+    /// Removes the connection at this position, if it is in the table.
     fn remove(&self, position: u64) {
-        let mut awaiting = self.lock();
-        // Under both keys: a request may have begun since the insertion. A position is assigned once, so no other
+        let mut queue = self.lock();
+        // A request may have begun since the insertion, so both keys are tried. Positions are unique, so no other
         // connection is removed.
         for has_begun_request in [false, true] {
-            awaiting.connections.remove(&EvictionKey {
+            queue.connections.remove(&EvictionKey {
                 has_begun_request,
                 position,
             });
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Awaiting> {
-        // No code panics while it holds the lock; if it did, the table would still be consistent.
-        self.awaiting
+    fn lock(&self) -> MutexGuard<'_, EvictionQueue> {
+        // No code panics while it holds the lock, and even then the table would be consistent.
+        self.queue
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// A new connection, which awaits its first request.
+    /// Adds a new connection, which awaits its first request.
     pub(crate) fn insert(
         self: &Arc<Self>,
         permit: OwnedSemaphorePermit,
@@ -138,27 +137,27 @@
         connection
     }
 
-    /// Notifies the connection to close that has awaited a request for longest: one that never began any, else one whose
-    /// last request is longest ago. A new connection stays for `grace`: its first request may be on its way, and would get
-    /// no response. False if no connection may be evicted.
+    /// Evicts the connection that has awaited a request for longest. Connections that have not begun any request come
+    /// first, but not before `grace` has passed: their first request may be in transit and would get no response.
+    /// Returns false if no connection may be evicted.
     pub(crate) fn evict_idle(&self, grace: Duration, now: u64) -> bool {
-        let mut awaiting = self.lock();
+        let mut queue = self.lock();
         let is_new = |first: &EvictionCandidate| {
             !first.key.has_begun_request && first.since.elapsed() < grace
         };
-        // Within their kind the first one is the oldest: where that is too new, all are.
-        let evicted = awaiting
+        // The first connection without a request is the oldest: if it is too new, so are all others.
+        let evicted = queue
             .first_idle(EvictionKey::first(false), now)
             .filter(|first| !is_new(first))
-            .or_else(|| awaiting.first_idle(EvictionKey::first(true), now));
+            .or_else(|| queue.first_idle(EvictionKey::first(true), now));
         let Some(evicted) = evicted else {
             return false;
         };
         let EvictionCandidate {
             key, connection, ..
         } = evicted;
-        awaiting.connections.remove(&key);
-        drop(awaiting);
+        queue.connections.remove(&key);
+        drop(queue);
         connection.evict();
         true
     }
--- a/src/daemon/server/connection_table/client_connection.rs
+++ b/src/daemon/server/connection_table/client_connection.rs
@@ -1,9 +1,8 @@
-//! The state of one client connection, as its task, its request service and its stream see it.
+//! The state of one client connection, shared by its task, its request service, its stream and a streaming body.
 //!
-//! Owner: the connection's task; its request service, its stream and a streaming body share it. Input: what is read and
-//! written on the connection. Output: flags, and notifications to close. Invariants: a connection that awaits a request is in
-//! the table, once; its permit is returned once, when the connection is dropped.
-//! The flags of a connection are independent of each other and only read on its own path, so relaxed ordering is enough.
+//! A connection that awaits a request is in the table exactly once. Dropping the connection releases its permit. The
+//! flags are independent of each other and are read only by the code that serves the connection, so relaxed ordering is
+//! sufficient.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -17,18 +16,18 @@
 use super::ConnectionTable;
 use crate::server::client_socket::ClientSocket;
 
-/// A connection as slow-peer protection knows it.
+/// A connection's registration with slow-peer protection.
 pub(crate) struct MonitoredTransfer {
-    /// The monitor of its responses.
+    /// The monitor of the connection's transfers.
     pub monitor: Arc<TransferMonitor>,
-    /// Its id in the monitor.
+    /// The connection's id in the monitor.
     pub id: ConnectionId,
-    /// The network of the client, where the operator limits connections by network.
+    /// The client's network, if the operator limits connections by network.
     pub peer_network: Option<IpNet>,
 }
 
 impl MonitoredTransfer {
-    /// The owner of the memory that a response to this customer takes on this connection.
+    /// The resource owner to which a response for this customer on this connection is attributed.
     pub(crate) fn owner(&self, customer: Option<u64>) -> ResourceOwner {
         ResourceOwner {
             customer,
@@ -37,10 +36,10 @@
     }
 }
 
-/// The position of a connection that does not await a request; positions in the table begin at 1.
+/// The position of a connection that is not in the table, where positions start at 1.
 const NOT_IN_TABLE: u64 = 0;
 
-/// One connection of a client. Its permit is returned when it is dropped.
+/// The state of one client connection.
 pub(crate) struct ClientConnection {
     table: Arc<ConnectionTable>,
     /// Its position in the table, or [`NOT_IN_TABLE`].
@@ -48,26 +47,26 @@
     has_begun_request: AtomicBool,
     has_unread_input: AtomicBool,
     reading_head: AtomicBool,
-    /// Output waits for the kernel to take it.
+    /// Output is waiting for space in the kernel's send buffer.
     write_blocked: AtomicBool,
-    /// When its idle time began, in nanoseconds since the table was set up.
+    /// Start of the current idle period, in nanoseconds since the table's reference time.
     idle_since_ns: AtomicU64,
-    quarantined: AtomicBool,
-    /// A request was read completely and has no response yet.
+    ambiguous_framing: AtomicBool,
+    /// A request has been read completely and has no response yet.
     awaiting_response: AtomicBool,
-    /// Shows whether the client has disconnected, without the reactor.
+    /// Shows whether the client has disconnected, independently of the reactor.
     pub socket: Arc<ClientSocket>,
-    /// Notified to close the connection, after output that is under way.
+    /// Notified to close the connection once the response being written is complete.
     pub evicted: Notify,
     /// Notified to close the connection immediately, discarding unwritten output.
     pub aborted: Arc<Notify>,
-    /// `None` if slow-peer protection is off.
+    /// `None` if slow-peer protection is disabled.
     pub monitored: Option<MonitoredTransfer>,
     _permit: OwnedSemaphorePermit,
 }
 
 impl ClientConnection {
-    /// A connection of which nothing was read, and which is not in the table yet.
+    /// Creates the state of a new connection, which is not in the table yet.
     pub(super) fn new(
         table: Arc<ConnectionTable>,
         permit: OwnedSemaphorePermit,
@@ -82,7 +81,7 @@
             reading_head: AtomicBool::new(false),
             write_blocked: AtomicBool::new(false),
             idle_since_ns: AtomicU64::new(0),
-            quarantined: AtomicBool::new(false),
+            ambiguous_framing: AtomicBool::new(false),
             awaiting_response: AtomicBool::new(false),
             socket: Arc::default(),
             evicted: Notify::new(),
@@ -92,13 +91,14 @@
         }
     }
 
-    /// A request begins: the connection no longer awaits one.
+    /// Records that a request has begun: the connection no longer awaits one.
     pub(crate) fn begin_request(&self) {
         self.has_begun_request.store(true, Ordering::Relaxed);
         self.leave_table();
     }
 
-    /// The request was read completely: what is received until its response is known belongs to the next one.
+    /// Records that the request has been read completely. Input received until its response is known belongs to the
+    /// next request.
     pub(crate) fn await_response(&self) {
         self.awaiting_response.store(true, Ordering::Relaxed);
     }
@@ -108,17 +108,17 @@
         self.awaiting_response.load(Ordering::Relaxed)
     }
 
-    /// The response is known: the connection awaits its next request, and may be evicted.
+    /// Records that the response is known: the connection awaits its next request and may be evicted.
     pub(crate) fn await_request(self: &Arc<Self>) {
         self.awaiting_response.store(false, Ordering::Relaxed);
-        // A connection that lingers after an error is in the table already.
+        // A connection that lingers after an error is already in the table.
         self.leave_table();
         self.restart_idle_time();
         self.table.add(self);
     }
 
-    /// The connection only waits for its client to read the end: it may be evicted.
-    pub(crate) fn await_end(self: &Arc<Self>) {
+    /// Records that the connection only waits for its client to read the last response: it may be evicted.
+    pub(crate) fn await_client_close(self: &Arc<Self>) {
         self.await_request();
     }
 
@@ -129,45 +129,45 @@
         }
     }
 
-    /// The table has added the connection at this position.
+    /// Records the position at which the table has added the connection.
     pub(super) fn set_position(&self, position: u64) {
         self.position.store(position, Ordering::Relaxed);
     }
 
-    /// Notifies the connection to close; the table has removed it already.
+    /// Notifies the connection to close. The table has already removed it.
     pub(super) fn evict(&self) {
         self.position.store(NOT_IN_TABLE, Ordering::Relaxed);
         self.evicted.notify_one();
     }
 
-    /// True once a request has begun on it.
+    /// True once any request has begun on the connection.
     pub(crate) fn has_begun_request(&self) -> bool {
         self.has_begun_request.load(Ordering::Relaxed)
     }
 
-    /// Records whether some of a head was read, and not its end.
+    /// Records whether a request head has been read in part.
     pub(crate) fn set_reading_head(&self, reading_head: bool) {
         if self.reading_head.swap(reading_head, Ordering::Relaxed) != reading_head {
             self.restart_idle_time();
         }
     }
 
-    /// Records whether output waits for the kernel to take it.
+    /// Records whether output is waiting for space in the kernel's send buffer.
     pub(crate) fn set_write_blocked(&self, write_blocked: bool) {
         self.write_blocked.store(write_blocked, Ordering::Relaxed);
     }
 
     fn restart_idle_time(&self) {
-        let now = self.table.origin.elapsed().as_nanos() as u64;
+        let now = self.table.epoch.elapsed().as_nanos() as u64;
         self.idle_since_ns.store(now, Ordering::Relaxed);
     }
 
-    /// Ends once the connection has awaited a request, or the rest of a head, for `limit`. The time of a head counts from
-    /// its first byte, whatever time the connection awaited it before.
+    /// Completes once the connection has awaited a request, or the rest of a head, for `limit`. The time for a head
+    /// starts with its first byte, regardless of how long the connection was idle before.
     pub(crate) async fn idle_for(&self, limit: Duration) {
         loop {
             let since = self.idle_since_ns.load(Ordering::Relaxed);
-            let ends = self.table.origin + Duration::from_nanos(since) + limit;
+            let ends = self.table.epoch + Duration::from_nanos(since) + limit;
             tokio::time::sleep_until(ends.into()).await;
             if self.idle_since_ns.load(Ordering::Relaxed) != since {
                 continue;
@@ -180,12 +180,12 @@
         }
     }
 
-    /// True if some of a head was read, and not its end.
+    /// True if a request head has been read in part.
     pub(crate) fn is_reading_head(&self) -> bool {
         self.reading_head.load(Ordering::Relaxed)
     }
 
-    /// Some input is left unread, so the connection has to close with its response.
+    /// Records that input is left unread, so the connection has to close after its response.
     pub(crate) fn set_unread_input(&self) {
         self.has_unread_input.store(true, Ordering::Relaxed);
     }
@@ -195,17 +195,17 @@
         self.has_unread_input.load(Ordering::Relaxed)
     }
 
-    /// A head on it can be framed in two ways: no request that is received on it is served.
-    pub(crate) fn quarantine(&self) {
-        self.quarantined.store(true, Ordering::Relaxed);
+    /// Records that a request head with ambiguous framing was received: no further request on the connection is served.
+    pub(crate) fn set_ambiguous_framing(&self) {
+        self.ambiguous_framing.store(true, Ordering::Relaxed);
     }
 
-    /// True after [`ClientConnection::quarantine`].
-    pub(crate) fn is_quarantined(&self) -> bool {
-        self.quarantined.load(Ordering::Relaxed)
+    /// True after [`ClientConnection::set_ambiguous_framing`].
+    pub(crate) fn has_ambiguous_framing(&self) -> bool {
+        self.ambiguous_framing.load(Ordering::Relaxed)
     }
 
-    /// True while slow-peer protection sees unsent bytes of a response at `now` on its clock.
+    /// True if, according to slow-peer protection, a response has unsent bytes at `now` on the monitor's clock.
     pub(super) fn is_writing_response(&self, now: u64) -> bool {
         self.monitored
             .as_ref()
--- a/src/daemon/server/connection_table/tests.rs
+++ b/src/daemon/server/connection_table/tests.rs
@@ -26,7 +26,7 @@
     used_late.await_request();
     let (none, long) = (Duration::ZERO, Duration::from_secs(3600));
     let evict = |grace| table.evict_idle(grace, 0);
-    // In the end, a new one without any request stays for longer than one that had some.
+    // With a long grace period, a new connection without a request outlasts one that had a request.
     for (connection, grace) in [
         (unused_early, none),
         (used_early, long),
@@ -64,7 +64,7 @@
     let connection = table.insert(permit, Arc::default(), None);
     connection.begin_request();
     connection.await_request();
-    connection.await_end();
+    connection.await_client_close();
     assert_eq!(table.lock().connections.len(), 1);
     drop(connection);
     assert!(table.lock().connections.is_empty());
--- a/src/daemon/server/connection_task.rs
+++ b/src/daemon/server/connection_task.rs
@@ -1,8 +1,7 @@
 //! Serves one client connection until it ends, is evicted, aborted or idle for too long, or the process shuts down.
 //!
-//! Owner: the connection's own task. Input: the connection's stream. Output: responses, by the request service.
-//! Invariants: a response that is being written is completed before the connection closes, unless the connection is aborted;
-//! a connection that closes with unread input lingers, so that its client can read the response.
+//! A response that is being written is completed before the connection closes, unless the connection is aborted. A
+//! connection that closes with unread input lingers, so that its client can read the response.
 
 use std::future::{poll_fn, Future};
 use std::io;
@@ -24,20 +23,22 @@
 use crate::server::service::RequestService;
 use crate::server::unanswered_input;
 
-/// A head has to begin this long after the connection came up or the last response was sent, and to be complete this long
-/// after its first byte: bounds how long a silent or slow client can occupy a connection.
+/// A request head has to begin within this time after the connection was established or the last response was sent, and
+/// be complete within this time after its first byte. Bounds how long a silent or slow client can hold_connection a
+/// connection.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Bounds a head, and what hyper reads ahead of a body: the buffer of one connection.
+/// Size limit of a connection's read buffer, which bounds a request head and the part of a body that hyper buffers.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// How long a connection with unread input stays open for its client to read the response: closing at once would reset it.
+/// How long a connection with unread input stays open so that its client can read the response. Closing it immediately
+/// would reset it.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bounds the bytes that are read and discarded meanwhile.
+/// Maximum number of bytes that are read and discarded while lingering.
 const MAX_LINGER_BYTES: usize = 512 * 1024;
 
 type HttpConnection =
     http1::Connection<TokioIo<GuardedStream>, TowerToHyperService<RequestService>>;
 
-/// Serves a connection until it ends. No `async fn`: its future would hold hyper's connection twice.
+/// Serves a connection until it ends. Not an `async fn`, whose future would store hyper's connection twice.
 pub(super) fn serve(
     stream: GuardedStream,
     service: RequestService,
@@ -57,16 +58,16 @@
             }
             () = connection.evicted.notified() => (CountedEvent::ConnectionEvicted, None),
             () = connection.idle_for(HEAD_TIMEOUT) => (idle_reason(&connection), None),
-            () = closed_by_shutdown(&mut phases, &connection) => {
+            () = wait_for_shutdown(&mut phases, &connection) => {
                 (CountedEvent::ConnectionShutDown, None)
             }
         };
         event_counts::count(reason);
-        tracing::debug!(?reason, "client connection closes");
+        tracing::debug!(?reason, "closing client connection");
         close(http, &connection, reason, ended).await;
     };
     async move {
-        // An abort discards unwritten output with the connection.
+        // An abort drops the connection, which discards unwritten output.
         tokio::select! {
             biased;
             () = aborted.notified() => event_counts::count(CountedEvent::ConnectionAborted),
@@ -75,55 +76,56 @@
     }
 }
 
-/// Closes a connection: after the response that is being written, and with a rejection where some of a request has arrived.
-/// `ended` is how hyper ended the connection; `None` if hyper still serves it.
+/// Closes a connection after the response that is being written. A request that has arrived at least in part is
+/// rejected. `ended` is the result with which hyper ended the connection; `None` if hyper still serves it.
 async fn close(
     mut http: HttpConnection,
     connection: &Arc<ClientConnection>,
     reason: CountedEvent,
     ended: Option<hyper::Result<()>>,
 ) {
-    let is_closed_here = ended.is_none();
+    let is_closed_by_server = ended.is_none();
     let ended = match ended {
         Some(ended) => ended,
-        // Without a request to finish, hyper would wait for the first one, or for the rest of a head.
+        // Without a request in progress, hyper would wait for the first request or for the rest of a head.
         None if !connection.has_begun_request() || reason == CountedEvent::HeadTooSlow => Ok(()),
-        None => finish(&mut http).await,
+        None => shut_down_gracefully(&mut http).await,
     };
-    // Closing with unread input resets the connection, and the client might lose the response with it.
+    // Closing a connection with unread input resets it, which may cost the client its response.
     let has_unread_input =
         connection.has_unread_input() || ended.is_err_and(|error| is_parse_error(&error));
     let parts = http.into_parts();
     let io = parts.io.into_inner();
     let buffered = !parts.read_buf.is_empty() || io.observer().has_pipelined_input();
     let mut stream = io.into_stream();
-    let is_unanswered =
-        is_closed_here && !has_unread_input && unanswered_input::has_arrived(&stream, buffered);
+    let is_unanswered = is_closed_by_server
+        && !has_unread_input
+        && unanswered_input::has_arrived(&stream, buffered);
     if !(has_unread_input || is_unanswered) {
         return;
     }
-    connection.await_end();
-    let lingers = async move {
+    connection.await_client_close();
+    let reject_and_linger = async move {
         if is_unanswered {
             event_counts::count(CountedEvent::RejectedAtClose);
-            // A client that does not read the rejection has disconnected: the connection closes either way.
+            // Fails if the client has disconnected; the connection is closed in either case.
             let _ = unanswered_input::reject(&mut stream).await;
         }
         linger(stream).await;
     };
     tokio::select! {
-        () = lingers => {}
+        () = reject_and_linger => {}
         () = connection.evicted.notified() => {}
     }
 }
 
-/// Ends a connection after the response that is being written.
-async fn finish(http: &mut HttpConnection) -> hyper::Result<()> {
+/// Shuts hyper's connection down after the response that is being written.
+async fn shut_down_gracefully(http: &mut HttpConnection) -> hyper::Result<()> {
     Pin::new(&mut *http).graceful_shutdown();
     poll_fn(|context| http.poll_without_shutdown(context)).await
 }
 
-/// Why a connection that awaited a request, or the rest of its head, for too long is closed.
+/// The reason for closing a connection that has awaited a request, or the rest of its head, for too long.
 fn idle_reason(connection: &ClientConnection) -> CountedEvent {
     if connection.is_reading_head() {
         CountedEvent::HeadTooSlow
@@ -136,10 +138,10 @@
     error.is_parse() || error.is_parse_too_large()
 }
 
-/// Ends once the process's shutdown closes the connection. A request in flight is still answered: hyper finishes it before
-/// the connection closes. A connection with an incomplete head closes with the response to that request. In the drained
-/// phase a connection that has had no request stays open for one, for as long as a head may take.
-async fn closed_by_shutdown(
+/// Completes once the shutdown of the process closes the connection. A request in flight is still answered, since hyper
+/// completes it before the connection closes. A connection with an incomplete head closes after the response to that
+/// request. In the drained phase, a connection that has not had a request stays open for one until the head timeout.
+async fn wait_for_shutdown(
     phases: &mut watch::Receiver<LifecyclePhase>,
     connection: &ClientConnection,
 ) {
@@ -153,14 +155,14 @@
             _ => false,
         };
         if closes && !connection.has_begun_request() {
-            // The first request may be on its way, and would get no response.
+            // The first request may be in transit and would get no response.
             connection.idle_for(FIRST_REQUEST_GRACE).await;
         }
         if closes {
             return;
         }
         if matches!(phase, LifecyclePhase::Closing | LifecyclePhase::Drained) {
-            // The response, or the head's timeout, ends the connection. Without a sender no phase follows.
+            // The connection ends with its response or with the head timeout. An error means that no phase will follow.
             let _ = phases.wait_for(|next| *next != phase).await;
         } else if phases.changed().await.is_err() {
             std::future::pending::<()>().await;
@@ -168,7 +170,7 @@
     }
 }
 
-/// Ends the output, and discards input for a while, up to a bound.
+/// Shuts down the output, and discards input up to a time limit and a size limit.
 async fn linger(mut stream: TcpStream) {
     let discard_input = async {
         stream.shutdown().await?;
@@ -178,11 +180,12 @@
             match stream.read(&mut buffer).await? {
                 0 => return Ok::<_, io::Error>(()),
                 read if read < left => left -= read,
-                // The bound is reached; the response still needs its time to reach the client.
+                // At the size limit, stop reading but keep the connection open so that the client can read the
+                // response.
                 _ => std::future::pending().await,
             }
         }
     };
-    // The connection closes after this, also where reading failed or took too long.
+    // The connection is closed afterwards even if reading failed or timed out.
     let _ = tokio::time::timeout(LINGER_TIMEOUT, discard_input).await;
 }
--- a/src/daemon/server/context.rs
+++ b/src/daemon/server/context.rs
@@ -1,7 +1,4 @@
-//! What all client connections share.
-//!
-//! Owner: the acceptor; each connection's request service has a reference. Input: settings, phases and queues of the node.
-//! Output: the state of the process as request handling needs it. Invariant: no field belongs to one connection.
+//! State shared by all client connections.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -21,38 +18,38 @@
     pub settings: Arc<PlatformSettings>,
     /// The engine's queue.
     pub queue: mpsc::Sender<Message>,
-    /// The phase of the shutdown.
+    /// The lifecycle phase.
     pub phases: watch::Receiver<LifecyclePhase>,
-    /// True once there is an endpoint list to decide from.
+    /// True once there is an endpoint list.
     pub has_endpoint_list: watch::Receiver<bool>,
     /// The next request's serial.
     pub serials: AtomicU64,
-    /// Bounds the memory of request bodies: one permit for each byte, returned when the body is dropped.
+    /// Bounds the memory of request bodies: one permit per byte, released when the body is dropped.
     pub body_permits: Arc<Semaphore>,
     /// The engine's clock.
     pub clock: Clock,
-    /// The role of this process, and the times of its shutdown.
+    /// The role of this process and the times of its shutdown.
     pub status: ProcessStatus,
 }
 
 impl ServerContext {
-    /// Healthy: the listener is open, and there is an endpoint list to decide from.
+    /// True if the node can serve requests: the listener is open and there is an endpoint list.
     pub(super) fn is_healthy(&self) -> bool {
         self.phases.borrow().reports_healthy() && *self.has_endpoint_list.borrow()
     }
 
-    /// True while the shutdown closes each connection with its response.
+    /// True while each connection is closed after its response, as part of a shutdown.
     pub(super) fn closes_after_response(&self) -> bool {
         self.phases.borrow().closes_after_response()
     }
 
-    /// A serial that no other request of this process has.
+    /// Returns a serial that is unique among the requests of this process.
     pub(super) fn next_serial(&self) -> u64 {
         self.serials.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// When a request that arrived at `arrived` has to be answered: once its client gives up, or earlier where the
-    /// shutdown limits the answers to late requests.
+    /// Deadline for the response to a request that arrived at `arrived`: the client's deadline, or an earlier one
+    /// during a shutdown.
     pub(super) fn response_deadline(&self, arrived: Instant, time_left_ns: u64) -> Instant {
         let client_gives_up_at = arrived + Duration::from_nanos(time_left_ns);
         let shutdown_times = self.status.shutdown_times.get();
--- a/src/daemon/server/customer_slot.rs
+++ b/src/daemon/server/customer_slot.rs
@@ -1,26 +1,26 @@
-//! One customer's place among the pending requests, where the operator limits how many of them a customer may have.
+//! Limits the number of pending requests per customer, if the operator has set a limit.
 //!
-//! Owner: the request handler, while the request is read and answered. Input: the customer of a request. Output: a slot, or
-//! none left. Invariant: a slot is released once, when it is dropped.
+//! The request handler holds a slot from before it reads the body until the request is answered. Dropping the slot
+//! releases it.
 
 use applewall_slow_peer::socket::TransferMonitor;
 
 use crate::clock::Clock;
 use crate::server::connection_table::ClientConnection;
 
-/// The customer has as many pending requests as the operator allows.
+/// The customer has reached its limit of pending requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the customer has no request slot left")]
+#[error("the customer has reached its limit of pending requests")]
 pub(super) struct NoSlotLeft;
 
-/// Counts one pending request against its customer's limit; released when it is dropped.
+/// One pending request that counts against its customer's limit.
 pub(super) struct CustomerSlot<'a> {
     monitor: &'a TransferMonitor,
     customer: u64,
 }
 
 impl<'a> CustomerSlot<'a> {
-    /// Takes a slot for one more request; `None` if slow-peer protection is off, which then sets no limit.
+    /// Acquires a slot for a request; `None` if slow-peer protection is disabled, so that there is no limit.
     pub(super) fn acquire(
         connection: &'a ClientConnection,
         clock: Clock,
--- a/src/daemon/server/framing.rs
+++ b/src/daemon/server/framing.rs
@@ -1,9 +1,9 @@
-//! Guards the bytes read from a client: quarantines a connection with an ambiguous head, and finds the client's end behind a
-//! request that has no response yet.
+//! Wraps a client's stream: detects request heads with ambiguous framing, and a client's disconnect behind pipelined
+//! input.
 //!
-//! Owner: a client connection's stream. Input: the raw bytes as they are read. Output: the bytes for hyper, and flags of the
-//! connection. hyper drops the length of an ambiguous head before the request service sees it. What is the body for one
-//! reader is a second request for another, so the raw lines are checked here.
+//! hyper removes the Content-Length of a head that also has a Transfer-Encoding before the request service sees it.
+//! What one HTTP implementation takes for the body of such a request is a second request for another (request
+//! smuggling), so the raw bytes are checked here.
 
 use std::io;
 use std::pin::Pin;
@@ -18,37 +18,38 @@
 use crate::server::head_scanner::HeadScanner;
 use crate::system::counting_io::{CountingIo, IoObserver};
 
-/// Bounds the bytes behind a request without a response that are stored and read as the next request afterwards.
+/// Maximum number of bytes received while a response is pending that are stored and later read as the next request.
 const MAX_PIPELINED_BYTES: usize = 16 * 1024;
-/// Bounds the bytes behind a request without a response that are read and discarded. They have to be read, since the end of
-/// the connection lies behind them; the bound ends the reading of a flood.
+/// Maximum number of bytes received while a response is pending that are read and discarded. They have to be read to
+/// detect the end of the connection behind them; the limit stops reading from a client that floods the connection.
 const MAX_DISCARDED_BYTES: usize = 512 * 1024;
-/// Bytes that one read takes from behind a request without a response.
+/// Size of one read while a response is pending.
 const READ_AHEAD_BYTES: usize = 2048;
 
-/// A client's stream with the check on what is read.
+/// A client's stream whose input is checked by a [`RequestGuard`].
 pub(crate) type GuardedStream = CountingIo<RequestGuard>;
 
 /// See the [module documentation](self).
 pub(crate) struct RequestGuard {
-    /// Where slow-peer protection counts what is written; it refers to the stream's descriptor.
-    ticket: Option<MonitoredConnection>,
+    /// The registration with slow-peer protection, which counts the bytes written. It refers to the stream's
+    /// descriptor.
+    registration: Option<MonitoredConnection>,
     scanner: HeadScanner,
     connection: Arc<ClientConnection>,
-    /// Read behind a request that had no response yet: the beginning of the next request.
+    /// Input received while a response is pending: the beginning of the next request.
     pipelined: Vec<u8>,
-    /// How many bytes were read after those and not stored.
+    /// Number of bytes that were read after the stored ones and discarded.
     discarded_bytes: usize,
 }
 
 impl RequestGuard {
-    /// The guard of a stream of which nothing was read.
+    /// Creates the guard of a new stream.
     pub(crate) fn new(
         connection: Arc<ClientConnection>,
-        ticket: Option<MonitoredConnection>,
+        registration: Option<MonitoredConnection>,
     ) -> Self {
         RequestGuard {
-            ticket,
+            registration,
             scanner: HeadScanner::default(),
             connection,
             pipelined: Vec::new(),
@@ -56,21 +57,22 @@
         }
     }
 
-    /// True if something was read behind the last request and is not served.
+    /// True if input after the last request has been read and not served.
     pub(crate) fn has_pipelined_input(&self) -> bool {
         !self.pipelined.is_empty()
     }
 
-    /// Reads on behind a request that has no response yet; ready at the end of the connection only. hyper stops looking
-    /// for that end once it holds a byte of a next request, and a client that disconnected would still be served.
-    fn poll_end(
+    /// Reads input that arrives while a response is pending; ready only at the end of the connection. Once hyper holds
+    /// a byte of the next request it stops checking for that end, so a client that has disconnected would still be
+    /// served.
+    fn poll_disconnect(
         &mut self,
         stream: &mut TcpStream,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut piece = [0; READ_AHEAD_BYTES];
+        let mut chunk = [0; READ_AHEAD_BYTES];
         while self.discarded_bytes < MAX_DISCARDED_BYTES {
-            let mut buffer = ReadBuf::new(&mut piece);
+            let mut buffer = ReadBuf::new(&mut chunk);
             ready!(Pin::new(&mut *stream).poll_read(context, &mut buffer))?;
             match buffer.filled() {
                 [] => return Poll::Ready(Ok(())),
@@ -80,14 +82,14 @@
         Poll::Pending
     }
 
-    /// Takes bytes from behind a request without a response: stores them within the bound, and discards them beyond it.
+    /// Stores bytes received while a response is pending, or discards them if they exceed the limit.
     fn store_or_discard(&mut self, bytes: &[u8]) {
         let fits = self.pipelined.len() + bytes.len() <= MAX_PIPELINED_BYTES;
         if fits && self.discarded_bytes == 0 {
             self.pipelined.extend_from_slice(bytes);
         } else {
-            // Bytes are missing from here on, so nothing that follows is read as a request: the connection closes with its
-            // response.
+            // Bytes are missing from here on, so no later input can be read as a request, and the connection closes
+            // after its response.
             self.discarded_bytes += bytes.len();
             self.connection.set_unread_input();
         }
@@ -108,11 +110,12 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.connection.is_awaiting_response() {
-            return self.poll_end(stream, context);
+            return self.poll_disconnect(stream, context);
         }
         let before = buffer.filled().len();
         if self.discarded_bytes > 0 {
-            // What was stored ends in the middle of a request: for hyper, the connection ends before it.
+            // The stored bytes may end in the middle of a request, so they are not passed to hyper: it sees the end of
+            // the connection instead.
             return Poll::Ready(Ok(()));
         }
         if self.pipelined.is_empty() {
@@ -126,7 +129,7 @@
             .scanner
             .finds_ambiguous_head(&buffer.filled()[before..])
         {
-            self.connection.quarantine();
+            self.connection.set_ambiguous_framing();
         }
         self.connection
             .set_reading_head(self.scanner.is_inside_head());
@@ -135,8 +138,8 @@
 
     fn observe_write(&self, result: &Poll<io::Result<usize>>) {
         self.connection.set_write_blocked(result.is_pending());
-        if let (Some(ticket), Poll::Ready(Ok(bytes))) = (&self.ticket, result) {
-            ticket.record_written(*bytes);
+        if let (Some(registration), Poll::Ready(Ok(bytes))) = (&self.registration, result) {
+            registration.record_written(*bytes);
         }
     }
 }
--- a/src/daemon/server/framing/tests.rs
+++ b/src/daemon/server/framing/tests.rs
@@ -8,7 +8,7 @@
 };
 use crate::server::connection_table::{ClientConnection, ConnectionTable};
 
-/// A stream with a request on it that has no response yet, its connection, and the client's end.
+/// A guarded stream with a request whose response is pending, the state of its connection, and the client's end.
 async fn awaiting_response() -> (GuardedStream, Arc<ClientConnection>, TcpStream) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (server, client) = tokio::join!(
@@ -37,17 +37,17 @@
             .await
             .unwrap();
         client.flush().await.unwrap();
-        // The pipelined bytes are not read while the response is pending; the end behind them is.
-        let (mut piece, mut read) = (vec![0; MAX_PIPELINED_BYTES], 0);
+        // While the response is pending the pipelined bytes are not returned, but the end behind them is.
+        let (mut chunk, mut read) = (vec![0; MAX_PIPELINED_BYTES], 0);
         drop(client);
         assert_eq!(
-            guarded.read(&mut piece).await.unwrap(),
+            guarded.read(&mut chunk).await.unwrap(),
             0,
             "{pipelined_bytes} bytes"
         );
         connection.await_request();
         while read < pipelined_bytes {
-            let more = guarded.read(&mut piece[read..]).await.unwrap();
+            let more = guarded.read(&mut chunk[read..]).await.unwrap();
             assert!(more > 0, "{pipelined_bytes} bytes");
             read += more;
         }
@@ -80,14 +80,14 @@
 async fn flood_behind_a_request_is_read_up_to_a_bound() {
     let (mut guarded, _connection, mut client) = awaiting_response().await;
     let flood = tokio::spawn(async move {
-        let piece = vec![b'x'; 64 * 1024];
+        let chunk = vec![b'x'; 64 * 1024];
         let mut sent = 0;
-        while client.write_all(&piece).await.is_ok() {
-            sent += piece.len();
+        while client.write_all(&chunk).await.is_ok() {
+            sent += chunk.len();
         }
         sent
     });
-    // The flood never ends: what is not read blocks the sender, and takes no memory here.
+    // The client never stops sending: unread input blocks it and takes no memory of this process.
     while guarded.observer().discarded_bytes < MAX_DISCARDED_BYTES {
         let mut one = [0; 1];
         let read =
--- a/src/daemon/server/head_scanner.rs
+++ b/src/daemon/server/head_scanner.rs
@@ -1,34 +1,34 @@
-//! Finds heads that two readers could frame in two ways: those with both a Content-Length and a Transfer-Encoding.
+//! Detects request heads with ambiguous framing: those with both a Content-Length and a Transfer-Encoding.
 //!
-//! Owner: the guard of a client's stream. Input: the raw bytes as they are read. Output: whether an ambiguous head is among
-//! them. Invariant: only the beginning of one line is in memory; bodies of a given length are skipped.
+//! Scans the raw bytes as they are read. Only a prefix of the current line is held in memory, and bodies with a
+//! Content-Length are skipped.
 
 use std::str;
 
-/// Bytes of a head's line that are stored: enough for the name of either header and any length.
+/// Number of bytes stored of each line of a head: enough for the name of either header and any length.
 const MAX_LINE_PREFIX_BYTES: usize = 48;
 
 /// See the [module documentation](self).
 #[derive(Default)]
 pub(super) struct HeadScanner {
-    /// The beginning of the line that is being read.
+    /// Prefix of the current line.
     line: Vec<u8>,
-    /// Bytes of a body yet to be received.
+    /// Remaining bytes of a body with a Content-Length.
     body_bytes_left: u64,
     content_length: Option<u64>,
     has_transfer_coding: bool,
-    /// A chunked body has begun: the connection closes with its response, so no head is served after it.
+    /// A chunked body has begun. The connection closes after the response to it, so no later head is served.
     has_begun_chunked_body: bool,
     inside_head: bool,
 }
 
 impl HeadScanner {
-    /// True if some of a head was read, and not its end.
+    /// True if a head has been read in part.
     pub(super) fn is_inside_head(&self) -> bool {
         self.inside_head
     }
 
-    /// Takes what was read; true if a head in it has both a length and a transfer coding.
+    /// Scans the bytes read next. Returns true if they complete a head line that makes its head ambiguous.
     pub(super) fn finds_ambiguous_head(&mut self, mut bytes: &[u8]) -> bool {
         while !bytes.is_empty() && !self.has_begun_chunked_body {
             if self.body_bytes_left > 0 {
@@ -39,20 +39,20 @@
                 continue;
             }
             let end = bytes.iter().position(|byte| *byte == b'\n');
-            let piece = &bytes[..end.unwrap_or(bytes.len())];
+            let segment = &bytes[..end.unwrap_or(bytes.len())];
             self.inside_head = true;
-            let stored_bytes = piece.len().min(MAX_LINE_PREFIX_BYTES - self.line.len());
-            self.line.extend_from_slice(&piece[..stored_bytes]);
-            bytes = &bytes[piece.len() + usize::from(end.is_some())..];
-            if end.is_some() && self.end_line() {
+            let stored_bytes = segment.len().min(MAX_LINE_PREFIX_BYTES - self.line.len());
+            self.line.extend_from_slice(&segment[..stored_bytes]);
+            bytes = &bytes[segment.len() + usize::from(end.is_some())..];
+            if end.is_some() && self.finish_line() {
                 return true;
             }
         }
         false
     }
 
-    /// Evaluates a complete line; true if it makes the head ambiguous.
-    fn end_line(&mut self) -> bool {
+    /// Evaluates a complete line. Returns true if it makes the head ambiguous.
+    fn finish_line(&mut self) -> bool {
         let line = self.line.trim_ascii();
         if line.is_empty() {
             self.line.clear();
@@ -69,7 +69,7 @@
         if name.eq_ignore_ascii_case(b"transfer-encoding") {
             self.has_transfer_coding = true;
         } else if name.eq_ignore_ascii_case(b"content-length") {
-            // hyper rejects a head whose length is no number.
+            // hyper rejects a head whose Content-Length is not a number.
             let value = str::from_utf8(&value[1..]).unwrap_or_default();
             self.content_length = Some(value.trim().parse().unwrap_or(0));
         }
--- a/src/daemon/server/head_scanner/tests.rs
+++ b/src/daemon/server/head_scanner/tests.rs
@@ -20,12 +20,12 @@
     assert!(found(
         "POST / HTTP/1.1\nTransfer-Encoding:chunked\nContent-Length:0\n\n"
     ));
-    // Behind another request in the same packet, with and without a body.
+    // After another request in the same read, with and without a body.
     assert!(found(&format!("GET / HTTP/1.1\r\n\r\n{both}")));
     assert!(found(&format!(
         "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc{both}"
     )));
-    // One of them alone is fine, and bodies are not heads.
+    // Either header alone is valid, and bodies are not scanned as heads.
     assert!(!found(
         "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nContent-Length: 3\r\n"
     ));
--- a/src/daemon/server/listener.rs
+++ b/src/daemon/server/listener.rs
@@ -1,7 +1,4 @@
-//! Listening sockets: how they are opened, and what their failures mean.
-//!
-//! Owner: the caller, who owns the listener. Input: an address. Output: a listener; the classes of errors of `accept`.
-//! Invariant: an address with port 0 has the port that the system chose afterwards.
+//! Opens listening sockets and classifies the errors of `accept`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,10 +7,10 @@
 
 use crate::system::socket_retry::open_with_retries;
 
-/// Bounds the connections that the kernel queues for this process: a burst of all clients at a restart fits.
+/// Length of the kernel's accept queue. It holds the burst of connections from all clients after a restart.
 const BACKLOG: u32 = 1024;
 
-/// The clients' address could not be bound.
+/// The address for client connections could not be bound.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot listen on {address}: {source}")]
 pub(crate) struct BindError {
@@ -21,11 +18,11 @@
     source: io::Error,
 }
 
-/// Listens for clients; port 0 is replaced by the port that the system chose.
+/// Listens for client connections. Port 0 in `address` is replaced by the port that the system chose.
 ///
 /// # Errors
 ///
-/// The address can't be bound.
+/// Fails if the address cannot be bound.
 pub(crate) async fn bind(address: &mut SocketAddr) -> Result<TcpListener, BindError> {
     listen(address, BACKLOG).await.map_err(|source| BindError {
         address: *address,
@@ -33,12 +30,11 @@
     })
 }
 
-/// Listens, with at most `backlog` connections that are not accepted yet; port 0 is replaced by the port that the system
-/// chose.
+/// Listens with an accept queue of length `backlog`. Port 0 in `address` is replaced by the port that the system chose.
 ///
 /// # Errors
 ///
-/// The address can't be bound.
+/// Fails if the address cannot be bound.
 pub(crate) async fn listen(address: &mut SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let wanted = *address;
     let listener = open_with_retries(|| std::future::ready(listen_once(wanted, backlog))).await?;
@@ -52,34 +48,34 @@
     } else {
         TcpSocket::new_v6()?
     };
-    // The address can be bound again right after a restart.
+    // Allows the address to be bound again right after a restart.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(backlog)
 }
 
-/// What an error of `accept` is about.
+/// The kind of an error of `accept`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum AcceptFailure {
-    /// The kernel's queue is empty.
-    NoneWaiting,
-    /// The first connection failed, or the call was interrupted: the next one may be accepted at once.
-    OneConnection,
-    /// The system lacks a resource, for a moment or for good: connections still wait.
+pub(super) enum AcceptErrorKind {
+    /// The kernel's accept queue is empty.
+    QueueEmpty,
+    /// The first connection in the queue failed, or the call was interrupted: the next one may be accepted immediately.
+    Connection,
+    /// The system is short of a resource, temporarily or permanently: connections remain in the queue.
     System,
 }
 
-/// What an error of `accept` is about.
-pub(super) fn accept_failure(error: &io::Error) -> AcceptFailure {
+/// Classifies an error of `accept`.
+pub(super) fn classify_accept_error(error: &io::Error) -> AcceptErrorKind {
     use io::ErrorKind::{
         ConnectionAborted, ConnectionReset, HostUnreachable, Interrupted, NetworkDown,
         NetworkUnreachable, PermissionDenied, TimedOut, WouldBlock,
     };
     match error.kind() {
-        WouldBlock => AcceptFailure::NoneWaiting,
-        // accept(2): errors of the network that are pending on the new socket are passed on.
+        WouldBlock => AcceptErrorKind::QueueEmpty,
+        // accept(2) reports network errors that are pending on the new socket.
         ConnectionAborted | ConnectionReset | HostUnreachable | Interrupted | NetworkDown
-        | NetworkUnreachable | PermissionDenied | TimedOut => AcceptFailure::OneConnection,
-        _ => AcceptFailure::System,
+        | NetworkUnreachable | PermissionDenied | TimedOut => AcceptErrorKind::Connection,
+        _ => AcceptErrorKind::System,
     }
 }
--- a/src/daemon/server/mod.rs
+++ b/src/daemon/server/mod.rs
@@ -1,4 +1,4 @@
-//! Serves the clients: connections that come in, the requests read from them and the responses written to them.
+//! Serves clients: accepts connections, reads requests and writes responses.
 
 pub(crate) mod acceptor;
 mod admission;
--- a/src/daemon/server/request.rs
+++ b/src/daemon/server/request.rs
@@ -1,7 +1,6 @@
-//! Reads a client's head into the decision policy's terms.
+//! Parses a client's request head into the decision policy's request.
 //!
-//! Input: method and headers. Output: a [`ParsedRequest`], or why there is none. Invariant: nothing that can be read in
-//! two ways is served, or charged to a customer.
+//! A request that can be interpreted in two ways is neither served nor charged to a customer.
 
 use applewall::api::{self, Idempotency, NodeId, NodeSet, RequestId};
 use applewall::platform_settings::PlatformSettings;
@@ -12,39 +11,39 @@
 use crate::headers::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT_MS};
 use crate::server::response::ClientResponse;
 
-/// Customer numbers are below this: the platform assigns no others.
+/// Exclusive upper bound of customer ids; the platform assigns no larger ones.
 const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// A request in the decision policy's terms.
+/// A parsed request head.
 pub(super) struct ParsedRequest {
-    /// What the policy decides on.
+    /// The request for the decision policy.
     pub request: api::Request,
-    /// The customer's number.
+    /// The customer's id.
     pub customer: u64,
 }
 
-/// Why a head is not served. The text is the response's body.
+/// The reason for which a request head is invalid. Its text is the response's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.reason())]
 pub(super) enum InvalidRequest {
-    /// Only GET and POST are served.
+    /// The method is neither GET nor POST.
     Method,
     /// The correlation id is missing or malformed.
     CorrelationId,
     /// The service class is not in the settings.
     ServiceClass,
-    /// The class is repeated by a key, and there is none.
+    /// The class requires an idempotency key for retries, and there is none.
     MissingIdempotencyKey,
-    /// There are two keys, and endpoints could not recognize a repeat by either.
+    /// There is more than one idempotency key, so endpoints could not recognize a retry.
     RepeatedIdempotencyKey,
     /// The plan is not in the settings.
-    Contract,
+    Plan,
     /// The customer's id is missing, malformed or too large.
     Customer,
     /// The time left is missing or malformed.
     TimeLeft,
-    /// The units or the set of nodes are missing, malformed or outside the settings.
+    /// The units or the node set are missing, malformed or outside the limits of the settings.
     Metering,
 }
 
@@ -59,7 +58,7 @@
                 "no Idempotency-Key, which this class is repeated by"
             }
             InvalidRequest::RepeatedIdempotencyKey => "Idempotency-Key comes twice",
-            InvalidRequest::Contract => "unknown X-Contract",
+            InvalidRequest::Plan => "unknown X-Contract",
             InvalidRequest::Customer => "X-Client-Id is not a number of 16 hex digits",
             InvalidRequest::TimeLeft => "X-Time-Left-Ms is not a whole number",
             InvalidRequest::Metering => {
@@ -78,7 +77,7 @@
     }
 }
 
-/// Reads method and headers.
+/// Parses the method and the headers of a request.
 pub(super) fn parse(
     settings: &PlatformSettings,
     method: &Method,
@@ -96,7 +95,7 @@
     check_idempotency_key(headers, settings.policy.class(class).idempotency)?;
     let plan = single_value(headers, "x-contract")
         .and_then(|plan| settings.plan(plan))
-        .ok_or(InvalidRequest::Contract)?;
+        .ok_or(InvalidRequest::Plan)?;
     let customer = single_value(headers, "x-client-id")
         .and_then(parse_hex)
         .filter(|customer| *customer < CUSTOMER_ID_LIMIT)
@@ -114,7 +113,7 @@
         plan,
         customer: format!("{customer:016x}").into(),
         units: f64::from(metering.units),
-        // No request may wait for longer than its class allows: bounds the requests in memory.
+        // Capped at the class's deadline, which bounds the number of requests in memory.
         time_left_ns: time_left_ms
             .saturating_mul(NANOS_PER_MILLISECOND)
             .min(settings.policy.class(class).deadline_ns),
@@ -124,8 +123,8 @@
     Ok(ParsedRequest { request, customer })
 }
 
-/// Endpoints recognize a repeat by the one key of its request: with two keys, or none where the class needs one, a retry
-/// could be executed twice.
+/// Endpoints recognize a retry by the request's idempotency key. With two keys, or without a key in a class that needs
+/// one, a request could be executed twice.
 fn check_idempotency_key(
     headers: &HeaderMap,
     idempotency: Idempotency,
@@ -139,14 +138,14 @@
     }
 }
 
-/// What a request costs, and the set of nodes that account for its customer's quota.
+/// The cost of a request, and the set of nodes that account for its customer's quota.
 struct Metering {
     units: u32,
     nodes: NodeSet,
 }
 
 impl Metering {
-    /// Units, set size and first node, each named once.
+    /// Parses units, set size and first node, each of which must occur exactly once.
     fn parse(text: &str) -> Option<Self> {
         let mut values = [None; 3];
         for pair in text.split(',') {
@@ -158,7 +157,8 @@
                 continue;
             };
             let value = u32::try_from(parse_digits(value)?).ok()?;
-            // A repeated name would leave open which value counts, and whose quota is charged.
+            // A repeated name is ambiguous: it would be unclear which value counts and which nodes account for the
+            // quota.
             if values[index].replace(value).is_some() {
                 return None;
             }
@@ -173,8 +173,8 @@
         })
     }
 
-    /// True if all values are within the settings, and this node is in the set: otherwise other nodes account for the
-    /// customer's quota.
+    /// True if all values are within the limits of the settings and this node is in the set. Otherwise other nodes
+    /// account for the customer's quota.
     fn is_within(&self, settings: &PlatformSettings) -> bool {
         let policy = &settings.policy;
         let node_count = policy.node_count.max(1);
@@ -186,7 +186,7 @@
     }
 }
 
-/// Path and query alone, also where the client sent an absolute URI (RFC 9112, 3.2.2).
+/// Returns the origin form of a request target. Clients may also send the absolute form (RFC 9112, section 3.2.2).
 pub(super) fn origin_form(uri: Uri) -> Uri {
     match uri.scheme() {
         None => uri,
@@ -198,7 +198,7 @@
     }
 }
 
-/// The one value of a header; `None` if it is missing, comes twice or is no text.
+/// The value of a header; `None` if the header is missing, repeated or not text.
 fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).into_iter();
     values
@@ -208,13 +208,13 @@
         .ok()
 }
 
-/// Digits alone: no sign, no space.
+/// Parses a decimal number without sign or white space.
 fn parse_digits(text: &str) -> Option<u64> {
     let only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
     only_digits.then(|| text.parse().ok()).flatten()
 }
 
-/// Exactly 16 hex digits.
+/// Parses exactly 16 hexadecimal digits.
 fn parse_hex(text: &str) -> Option<u64> {
     let is_hex = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     is_hex.then(|| u64::from_str_radix(text, 16).ok()).flatten()
--- a/src/daemon/server/request_body.rs
+++ b/src/daemon/server/request_body.rs
@@ -1,8 +1,7 @@
-//! Reads the body of a client's request, within the memory and the time that it may take.
+//! Reads the body of a client's request, within limits of memory and time.
 //!
-//! Owner: the request handler, for one request. Input: hyper's body. Output: the complete body, or the response to a client
-//! that did not send one. Invariant: the bytes of all waiting bodies are bounded by one semaphore, whose permits are
-//! returned when the bodies are dropped.
+//! The memory of all pending bodies is bounded by one semaphore, whose permits are released when the bodies are
+//! dropped.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -21,23 +20,23 @@
 use crate::server::connection_table::MonitoredTransfer;
 use crate::server::response::ClientResponse;
 
-/// A body has to be complete this long after its head, where slow-peer protection sets no other time: bounds how long a
-/// slow client can hold permits for memory.
+/// A body has to be complete within this time after its head, unless slow-peer protection sets another limit. Bounds
+/// how long a slow client can hold memory permits.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How much of a request's body was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyState {
-    /// Not all of it.
+    /// The body has not been read completely.
     Unread,
-    /// All of it, in chunks: what follows it on the connection is not checked by the framing guard.
+    /// A chunked body has been read completely. The framing guard does not check the input that follows it.
     Chunked,
-    /// All of it, by its length; or there was none.
+    /// A body with a Content-Length has been read completely, or there is no body.
     Complete,
 }
 
 impl BodyState {
-    /// The state before anything is read: complete where there is no body.
+    /// The state before anything has been read: complete if there is no body.
     pub(super) fn before_reading(body: &Incoming) -> Self {
         if body.is_end_stream() {
             BodyState::Complete
@@ -47,22 +46,22 @@
     }
 }
 
-/// Why a body was not read.
+/// The reason for which a body was not read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum BodyError {
     /// It is longer than [`MAX_BODY_BYTES`].
-    #[error("the body is too large")]
+    #[error("request body exceeds {MAX_BODY_BYTES} bytes")]
     TooLarge,
-    /// It ended early, or its framing is broken.
-    #[error("the body is not whole")]
+    /// It ended early, or its framing is malformed.
+    #[error("request body truncated or malformed")]
     Incomplete,
-    /// It can't be complete in its time.
-    #[error("the body came too slowly")]
+    /// It stalled, or could not be complete within its time limit.
+    #[error("request body not received in time")]
     TooSlow,
 }
 
 impl BodyError {
-    fn of_hyper(error: &(dyn std::error::Error + 'static)) -> Self {
+    fn from_hyper(error: &(dyn std::error::Error + 'static)) -> Self {
         if error.is::<LengthLimitError>() {
             BodyError::TooLarge
         } else {
@@ -84,32 +83,32 @@
 
 /// A complete body.
 pub(super) struct ReceivedBody {
-    /// Its bytes.
+    /// The contents.
     pub bytes: Bytes,
-    /// Permits for its bytes, returned when the body is dropped; `None` for an empty body.
+    /// Memory permits, released when the body is dropped; `None` for an empty body.
     pub permit: Option<OwnedSemaphorePermit>,
-    /// How it was framed.
+    /// Whether the body was chunked.
     pub state: BodyState,
 }
 
-/// Reads one body.
+/// Reads the body of one request.
 pub(super) struct BodyReader<'a> {
     /// The clock of slow-peer protection.
     pub clock: Clock,
-    /// One permit for each byte that all waiting bodies may take.
+    /// Bounds the memory of all pending bodies: one permit per byte.
     pub permits: &'a Arc<Semaphore>,
-    /// The connection as slow-peer protection knows it.
+    /// The connection's registration with slow-peer protection.
     pub monitored: Option<&'a MonitoredTransfer>,
-    /// Whose request it is.
+    /// The customer's id.
     pub customer: u64,
     /// When the head was read.
     pub arrived: Instant,
-    /// When the request has to be answered.
+    /// Deadline for the response to the request.
     pub deadline: Instant,
 }
 
 impl BodyReader<'_> {
-    /// Reads a complete body. An error is the response to the client.
+    /// Reads a complete body. An error is the response for the client.
     pub(super) async fn read(&self, body: Incoming) -> Result<ReceivedBody, ClientResponse> {
         if body.is_end_stream() {
             return Ok(ReceivedBody {
@@ -125,7 +124,7 @@
         let read_by = self.deadline.min(self.arrived + timeout);
         let collected = async {
             match monitor {
-                Some(monitor) => self.collect_paced(body, monitor, read_by, length).await,
+                Some(monitor) => self.collect_monitored(body, monitor, read_by, length).await,
                 None => collect(body).await,
             }
         };
@@ -146,7 +145,8 @@
         }
     }
 
-    /// Takes permits for a body of this length; a body of unknown length may take as many as the longest one.
+    /// Acquires memory permits for a body of this length. A body of unknown length needs permits for the maximum
+    /// length.
     fn reserve_memory(&self, length: Option<u64>) -> Result<OwnedSemaphorePermit, ClientResponse> {
         let bytes = length.unwrap_or(MAX_BODY_BYTES as u64);
         if bytes > MAX_BODY_BYTES as u64 {
@@ -159,14 +159,14 @@
         })
     }
 
-    /// Slow-peer protection, where it watches the data rate of request bodies.
+    /// The transfer monitor, if it enforces a minimum data rate for request bodies.
     fn upload_monitor(&self) -> Option<&TransferMonitor> {
         self.monitored
             .map(|monitored| &*monitored.monitor)
             .filter(|monitor| monitor.settings().enabled.0)
     }
 
-    /// Counts a body that slow-peer protection gave up.
+    /// Counts a body that was abandoned by slow-peer protection.
     fn record_if_too_slow(&self, error: BodyError) {
         if let (BodyError::TooSlow, Some(monitored)) = (error, self.monitored) {
             let owner = monitored.owner(Some(self.customer));
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Reads a body that is given up as soon as it stalls or can't be complete in time, which frees its memory early.
-    async fn collect_paced(
+    /// Reads a body, and abandons it as soon as it stalls or cannot be complete in time, which frees its memory early.
+    async fn collect_monitored(
         &self,
         body: Incoming,
         monitor: &TransferMonitor,
@@ -193,12 +193,12 @@
             };
             let check_at = self.clock.instant(check_at).into();
             let Ok(frame) = tokio::time::timeout_at(check_at, body.frame()).await else {
-                // The transfer is checked again.
+                // The timeout only means that the transfer has to be evaluated again.
                 continue;
             };
             match frame {
                 None => return Ok(received.freeze()),
-                Some(Err(error)) => return Err(BodyError::of_hyper(&*error)),
+                Some(Err(error)) => return Err(BodyError::from_hyper(&*error)),
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         transfer.bytes_received(self.clock.now(), data.len() as u64);
@@ -213,6 +213,6 @@
 async fn collect(body: Incoming) -> Result<Bytes, BodyError> {
     match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(error) => Err(BodyError::of_hyper(&*error)),
+        Err(error) => Err(BodyError::from_hyper(&*error)),
     }
 }
--- a/src/daemon/server/request_handler.rs
+++ b/src/daemon/server/request_handler.rs
@@ -1,7 +1,6 @@
-//! Handles one request: parses its head, takes a slot of its customer, reads its body and has the engine answer it.
+//! Handles one request: parses its head, acquires a slot of its customer, reads its body and submits it to the engine.
 //!
-//! Owner: the request service of the connection. Input: a request of hyper. Output: its [`ClientResponse`]. Invariant: a
-//! request that is rejected before its body is read takes no memory for the body.
+//! A request that is rejected before its body is read takes no memory for the body.
 
 use std::time::Instant;
 
@@ -16,26 +15,26 @@
 use crate::server::response::ClientResponse;
 use crate::server::submission::{QueueFull, Submission};
 
-/// How much of a request was read. Outlives the handling, also where that ends with an error.
+/// How far the request has been read. The caller needs this even if the handler returns an error.
 pub(super) struct RequestProgress {
-    /// How much of the body was read.
+    /// How much of the body has been read.
     pub body: BodyState,
-    /// The customer's number; known once the head was parsed.
+    /// The customer's id, once the head has been parsed.
     pub customer: Option<u64>,
 }
 
 /// See the [module documentation](self).
 pub(super) struct RequestHandler<'a> {
-    /// What all connections share.
+    /// State shared by all connections.
     pub context: &'a ServerContext,
-    /// The connection that the request was read from.
+    /// The connection on which the request was received.
     pub connection: &'a ClientConnection,
     /// When the request's head was read.
     pub arrived: Instant,
 }
 
 impl RequestHandler<'_> {
-    /// Handles a request. An error is a response that was made without the engine.
+    /// Handles a request. An error is a response produced without the engine.
     pub(super) async fn handle(
         &self,
         request: Request<Incoming>,
@@ -48,14 +47,14 @@
             customer,
         } = request::parse(&context.settings, &head.method, &head.headers)?;
         progress.customer = Some(customer);
-        // Before the body is read: the body of a request that is rejected takes no memory.
+        // Acquired before the body is read, so that the body of a rejected request takes no memory.
         let _slot = CustomerSlot::acquire(self.connection, context.clock, customer)?;
         let deadline = context.response_deadline(self.arrived, request.time_left_ns);
         let body = self.body_reader(customer, deadline).read(body).await?;
         progress.body = body.state;
         let time_left = deadline.saturating_duration_since(Instant::now());
         request.time_left_ns = time_left.as_nanos() as u64;
-        // Nothing of the request is left to read: what is received from here on is the next request, or the client's end.
+        // The request has been read completely: from here on the input is the next request or the client's disconnect.
         self.connection.await_response();
         let submission = Submission {
             request,
--- a/src/daemon/server/response.rs
+++ b/src/daemon/server/response.rs
@@ -1,7 +1,7 @@
-//! The final response to a client: an endpoint's served body unchanged, a rejection, or a failure.
+//! The final response to a client: an endpoint's response body unchanged, a rejection or a failure.
 //!
-//! Owner: the engine decides on a [`ClientResponse`], the connection's request service writes it. Input: what the
-//! decision policy or the server chose. Output: a hyper response. Invariant: a request gets one of these, once.
+//! The engine or the server decides on a [`ClientResponse`], and the connection's request service converts it for
+//! hyper. A request gets exactly one.
 
 use bytes::Bytes;
 use http_body_util::{Either, Full};
@@ -10,43 +10,43 @@
 
 use crate::server::streaming_body::StreamingBody;
 
-/// Retry-After of a rejection that is made without the policy: about as long as the policy's own.
+/// Retry-After of rejections made without the policy, similar to the policy's own values.
 const OVERLOADED_RETRY_AFTER_NS: u64 = 200_000_000;
 
 /// The body of a served response.
 #[derive(Debug)]
 pub(crate) enum ResponseBody {
-    /// The complete body, in memory.
+    /// The complete body in memory.
     Buffered(Bytes),
-    /// It is forwarded while the endpoint still sends it.
+    /// A body that is forwarded while it is being received from the endpoint.
     Streaming(StreamingBody),
 }
 
-/// What is written to a client.
+/// The response as passed to hyper.
 pub(crate) type HttpResponse = Response<Either<Full<Bytes>, StreamingBody>>;
 
 /// An endpoint's response with status 200.
 #[derive(Debug)]
 pub(crate) struct ServedResponse {
-    /// The body, unchanged.
+    /// The unchanged body.
     pub body: ResponseBody,
     /// Its Content-Type header, if any.
     pub content_type: Option<HeaderValue>,
 }
 
-/// The one final response to a request.
+/// The final response to a request.
 #[derive(Debug)]
 pub(crate) enum ClientResponse {
     /// An endpoint served the request.
     Served(ServedResponse),
     /// The request was never executed, or may be executed again: a retry is safe.
     Rejected {
-        /// 429 where the policy decided on no attempt, else 503.
+        /// 429 if the policy has not decided on any attempt, otherwise 503.
         status: StatusCode,
-        /// Wait that the client is advised.
+        /// The value of the Retry-After header.
         retry_after_ns: Option<u64>,
     },
-    /// The request failed; whether it was executed is not known.
+    /// The request failed; it may or may not have been executed.
     Failed {
         /// The response's status.
         status: StatusCode,
@@ -56,7 +56,7 @@
 }
 
 impl ClientResponse {
-    /// A rejection that is made without the policy, where the capacity to reach it is missing.
+    /// A rejection made without the policy because this node lacks the capacity to process the request.
     pub(crate) fn overloaded() -> Self {
         ClientResponse::Rejected {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The kind of response, with its status and reason, for the log.
+    /// The kind of response with its status and reason, for the log.
     pub(crate) fn summary(&self) -> String {
         match self {
             ClientResponse::Served(_) => "served".to_string(),
@@ -74,7 +74,7 @@
     }
 }
 
-/// The Retry-After header, in seconds.
+/// The value of the Retry-After header, in seconds with three decimals.
 fn retry_after_header(retry_after_ns: u64) -> Option<HeaderValue> {
     // Rounded up: a client must not retry earlier than the policy advised.
     let milliseconds = retry_after_ns.div_ceil(1_000_000);
--- a/src/daemon/server/response_accounting.rs
+++ b/src/daemon/server/response_accounting.rs
@@ -1,8 +1,4 @@
-//! Accounts for the memory of a response while it waits for its client to read it, if slow-peer protection is enabled.
-//!
-//! Owner: the request service, right before the response goes to hyper. Input: a response and the connection that it is
-//! written to. Output: the response, or a short one where there is no memory for it. Invariant: a request gets one response,
-//! with or without memory.
+//! Accounts for the memory of responses that wait for their clients to read them, if slow-peer protection is enabled.
 
 use hyper::StatusCode;
 
@@ -10,8 +6,8 @@
 use crate::server::connection_table::ClientConnection;
 use crate::server::response::{ClientResponse, ResponseBody, ServedResponse};
 
-/// Registers a response with the connection's transfer monitor. Where there is no memory for it, and the monitor finds no
-/// slow client to abort for it, the request gets a short failure at once instead.
+/// Registers a response with the connection's transfer monitor. If the response exceeds a memory limit and the monitor
+/// finds no slow client to abort, returns a short failure instead.
 pub(super) fn account_for(
     response: ClientResponse,
     connection: &ClientConnection,
@@ -21,7 +17,7 @@
     let Some(monitored) = &connection.monitored else {
         return response;
     };
-    // A response that is forwarded while it is received holds a few pieces only, however slowly it is read.
+    // A streamed response holds only a few chunks in memory, however slowly it is read.
     let ClientResponse::Served(ServedResponse {
         body: ResponseBody::Buffered(body),
         ..
--- a/src/daemon/server/service.rs
+++ b/src/daemon/server/service.rs
@@ -1,8 +1,8 @@
-//! The tower service of one client connection: answers health checks, rejects the requests of quarantined and surplus
-//! connections, and gives every other request to its handler.
+//! The tower service of one client connection: answers health checks, rejects requests on connections that are over the
+//! limit or have ambiguous framing, and passes all others to the request handler.
 //!
-//! Owner: hyper's connection. Input: requests. Output: responses. Invariants: a request gets one response; the connection
-//! awaits its next request only after the response is known; a connection with unread input closes with its response.
+//! A request gets exactly one response. The connection awaits its next request only once the response is known, and a
+//! connection with unread input closes after its response.
 
 use std::convert::Infallible;
 use std::future::{ready, Future};
@@ -24,17 +24,17 @@
 use crate::server::response::{ClientResponse, HttpResponse, ResponseBody, ServedResponse};
 use crate::server::response_accounting::account_for;
 
-/// The path of health checks.
+/// The path for health checks.
 const HEALTH_PATH: &str = "/healthz";
 
 /// See the [module documentation](self).
 #[derive(Clone)]
 pub(crate) struct RequestService {
-    /// What all connections share.
+    /// State shared by all connections.
     pub context: Arc<ServerContext>,
-    /// The connection is beyond the limit: each request on it is rejected, and it closes with the response.
+    /// Whether the connection is over the limit: its requests are rejected, and it closes after the first response.
     pub sheds_load: bool,
-    /// The connection that the requests are read from.
+    /// The connection on which the requests are received.
     pub connection: Arc<ClientConnection>,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl RequestService {
-    /// 200 where the process is healthy, else 503.
+    /// 200 if the process is healthy, otherwise 503.
     fn health_response(&self) -> HttpResponse {
         self.connection.await_request();
         let mut response = HttpResponse::new(Either::Left(Full::default()));
@@ -75,7 +75,7 @@
     /// Serves one request.
     #[expect(
         clippy::manual_async_fn,
-        reason = "the future of an async fn would hold the request twice"
+        reason = "the future of an async fn would store the request twice"
     )]
     fn serve(
         self,
@@ -101,9 +101,9 @@
         }
     }
 
-    /// The response to every request of a connection whose requests are not handled.
+    /// The response to all requests on a connection that is over the limit or has ambiguous framing, otherwise `None`.
     fn rejection(&self) -> Option<ClientResponse> {
-        if self.connection.is_quarantined() {
+        if self.connection.has_ambiguous_framing() {
             return Some(ClientResponse::Failed {
                 status: StatusCode::BAD_REQUEST,
                 reason: "both Content-Length and Transfer-Encoding",
@@ -112,7 +112,7 @@
         self.sheds_load.then(ClientResponse::overloaded)
     }
 
-    /// Accounts for a response, settles what the connection does after it, and gives it to hyper.
+    /// Accounts for a response, updates the state of the connection and converts the response for hyper.
     fn into_http(self, response: ClientResponse, progress: &RequestProgress) -> HttpResponse {
         let RequestService {
             context,
@@ -120,8 +120,8 @@
             connection,
         } = self;
         let mut response = account_for(response, &connection, progress.customer, context.clock);
-        // The rest of an unread body would be read as the next head, or for nothing; what follows a chunked body is not
-        // checked by the framing guard.
+        // The rest of an unread body would have to be read and discarded, or be taken for the next head. The input
+        // after a chunked body is not checked by the framing guard.
         let closes =
             sheds_load || progress.body != BodyState::Complete || connection.has_unread_input();
         if progress.body == BodyState::Unread {
@@ -132,8 +132,8 @@
             ..
         }) = &mut response
         {
-            // The connection awaits its next request once the body was written.
-            body.occupy(connection);
+            // The connection awaits its next request once the body has been written.
+            body.hold_connection(connection);
         } else {
             connection.await_request();
         }
@@ -143,7 +143,7 @@
     }
 }
 
-/// Announces to the client that the connection closes with this response, where it does.
+/// Adds `Connection: close` if the connection closes after this response.
 fn set_connection_close(response: &mut HttpResponse, closes: bool) {
     if closes {
         response
--- a/src/daemon/server/slow_peers.rs
+++ b/src/daemon/server/slow_peers.rs
@@ -1,9 +1,8 @@
-//! Slow-peer protection as the operator's settings define it: the [`TransferMonitor`] in force, its ticks and its
+//! Creates the [`TransferMonitor`] of slow-peer protection from the operator's settings, drives its ticks and logs its
 //! statistics.
 //!
-//! Owner: one task of the node follows the settings, and owns a task for each monitor that drives its ticks. Input: the
-//! operator's settings. Output: the monitor in force. Invariant: a new monitor applies to connections that are accepted
-//! after it; older connections stay with theirs until they close.
+//! When the settings change, a new monitor is created. It applies to connections accepted from then on; older
+//! connections keep their monitor until they close.
 
 use std::sync::{Arc, Weak};
 
@@ -15,81 +14,81 @@
 use crate::clock::Clock;
 use crate::config::operator::OperatorConfig;
 
-/// Bounds the resource owners that are logged, each time that statistics are.
+/// Maximum number of resource owners logged with each statistics event.
 const MAX_LOGGED_OWNERS: usize = 5;
 
-/// The monitor in force; `None` if slow-peer protection is off.
+/// The current monitor; `None` if slow-peer protection is disabled.
 pub(crate) type TransferMonitors = watch::Receiver<Option<Arc<TransferMonitor>>>;
 
-/// What a monitor is made from, besides its settings.
-struct Environment {
+/// Creates monitors.
+struct MonitorFactory {
     clock: Clock,
     permits: Arc<Semaphore>,
-    /// How many permits there are in all.
-    all_permits: usize,
+    /// Total number of permits.
+    total_permits: usize,
     capacity: Capacity,
 }
 
-/// Puts a new monitor in force at each change of the operator's settings.
-pub(crate) struct SettingsFollower {
+/// Replaces the current monitor when the operator's settings change.
+pub(crate) struct MonitorUpdater {
     operator: watch::Receiver<Arc<OperatorConfig>>,
-    environment: Environment,
+    factory: MonitorFactory,
     monitors: watch::Sender<Option<Arc<TransferMonitor>>>,
-    /// One task for each monitor that is still in use.
+    /// One task per monitor that is still in use.
     tickers: JoinSet<()>,
 }
 
-impl SettingsFollower {
-    /// A follower with the first monitor in force. `permits` are those of the clients' connections, none of them taken yet.
+impl MonitorUpdater {
+    /// Creates the first monitor. `permits` are those of client connections, all of which must be available.
     pub(crate) fn new(
         mut operator: watch::Receiver<Arc<OperatorConfig>>,
         clock: Clock,
         permits: Arc<Semaphore>,
         capacity: Capacity,
     ) -> (Self, TransferMonitors) {
-        let environment = Environment {
+        let factory = MonitorFactory {
             clock,
-            all_permits: permits.available_permits(),
+            total_permits: permits.available_permits(),
             permits,
             capacity,
         };
         let mut tickers = JoinSet::new();
         let settings = operator.borrow_and_update().clone();
-        let (monitors, in_force) = watch::channel(environment.start(&settings, &mut tickers));
-        let follower = SettingsFollower {
+        let (monitors, current) = watch::channel(factory.create_monitor(&settings, &mut tickers));
+        let updater = MonitorUpdater {
             operator,
-            environment,
+            factory,
             monitors,
             tickers,
         };
-        (follower, in_force)
+        (updater, current)
     }
 
-    /// Follows the settings for as long as any part reads the monitor in force.
+    /// Follows the settings until all receivers of the current monitor have been dropped.
     pub(crate) async fn run(mut self) {
         while self.operator.changed().await.is_ok() {
             let settings = self.operator.borrow_and_update().clone();
-            // Tickers whose monitor is no longer in use have ended.
+            // Reap the tickers of monitors that are no longer in use.
             while self.tickers.try_join_next().is_some() {}
-            let monitor = self.environment.start(&settings, &mut self.tickers);
+            let monitor = self.factory.create_monitor(&settings, &mut self.tickers);
             self.monitors.send_replace(monitor);
         }
-        // The last monitor stays in force for as long as the process runs.
+        // The settings no longer change; keep the last monitor and its ticker running.
         self.monitors.closed().await;
     }
 }
 
-/// Slow-peer protection that is off.
+/// Disabled slow-peer protection.
 #[cfg(test)]
 pub(crate) fn disabled() -> TransferMonitors {
-    let (sender, follower) = watch::channel(None);
+    let (sender, receiver) = watch::channel(None);
     std::mem::forget(sender);
-    follower
+    receiver
 }
 
-impl Environment {
-    /// A new monitor with its ticker, where the settings enable slow-peer protection.
-    fn start(
+impl MonitorFactory {
+    /// Creates a monitor and starts its ticker, if the settings enable slow-peer protection.
+    fn create_monitor(
         &self,
         settings: &OperatorConfig,
         tickers: &mut JoinSet<()>,
@@ -103,7 +102,7 @@
             monitor: Arc::downgrade(&monitor),
             clock: self.clock,
             permits: self.permits.clone(),
-            all_permits: self.all_permits,
+            total_permits: self.total_permits,
             connections: self.capacity.connections,
         };
         tickers.spawn(ticker.run());
@@ -111,22 +110,22 @@
     }
 }
 
-/// Drives the ticks of one monitor.
+/// Calls one monitor's tick function at the configured interval.
 struct Ticker {
     monitor: Weak<TransferMonitor>,
     clock: Clock,
     permits: Arc<Semaphore>,
-    all_permits: usize,
+    total_permits: usize,
     connections: usize,
 }
 
 impl Ticker {
-    /// Ticks for as long as the monitor is in use.
+    /// Runs until the monitor is no longer in use.
     async fn run(self) {
         while let Some(monitor) = self.monitor.upgrade() {
             let interval = monitor.settings().tick.0;
             let taken = self
-                .all_permits
+                .total_permits
                 .saturating_sub(self.permits.available_permits());
             let utilization = taken as f64 / self.connections.max(1) as f64;
             monitor.tick(self.clock.now(), utilization);
@@ -136,7 +135,7 @@
     }
 }
 
-/// Logs the statistics and the resource owners with the slowest peers; nothing in an interval without any.
+/// Logs the statistics and the resource owners with the slowest peers, if there is anything to report.
 pub(crate) fn log_statistics(monitors: &TransferMonitors) {
     let Some(monitor) = monitors.borrow().clone() else {
         return;
@@ -178,23 +177,23 @@
     owners.into_iter().for_each(log_owner);
 }
 
-/// Logs what one resource owner's slow peers did.
-fn log_owner(row: OwnerStatistics) {
-    let customer = row
+/// Logs the statistics of one resource owner.
+fn log_owner(statistics: OwnerStatistics) {
+    let customer = statistics
         .owner
         .customer
         .map_or("-".to_string(), |id| format!("{id:016x}"));
-    let network = row
+    let network = statistics
         .owner
         .peer_network
         .map_or("-".to_string(), |network| network.to_string());
     tracing::info!(
         %customer,
         %network,
-        events = row.events,
-        last_event = %format!("{:?}", row.last_event),
-        max_unsent_bytes = row.max_unsent_bytes,
-        max_age_ms = row.max_age_ns / 1_000_000,
+        events = statistics.events,
+        last_event = %format!("{:?}", statistics.last_event),
+        max_unsent_bytes = statistics.max_unsent_bytes,
+        max_age_ms = statistics.max_age_ns / 1_000_000,
         "resource owner with slow peers"
     );
 }
--- a/src/daemon/server/streaming_body.rs
+++ b/src/daemon/server/streaming_body.rs
@@ -1,8 +1,7 @@
-//! A response body that is forwarded while it is still received, with backpressure from the slower side.
+//! A response body that is forwarded to the client while it is being received, with backpressure.
 //!
-//! Owner: the attempt owns the sender, the client's response the body. Input: pieces of an endpoint's body. Output:
-//! frames of the client's response. Invariant: a body whose sender is dropped before [`BodySender::finish`] ends in an
-//! error, so that the client sees that it is incomplete.
+//! The attempt holds the sender, the client's response holds the body. If the sender is dropped before
+//! [`BodySender::finish`], the body ends with an error, so that the client can tell that it is incomplete.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -15,62 +14,62 @@
 
 use crate::server::connection_table::ClientConnection;
 
-/// Bounds the pieces that wait between the two sides, and with them the memory of one body to a few reads.
-const MAX_WAITING_PIECES: usize = 4;
+/// Capacity of the channel between the two sides, which bounds the memory of one body to a few reads.
+const CHANNEL_CAPACITY: usize = 4;
 
-/// What the sender puts into the channel.
-enum Piece {
+/// A message from the sender to the body.
+enum BodyMessage {
     Data(Bytes),
     End,
 }
 
-/// The client's side of a body no longer takes anything.
+/// The client's side of a body has been dropped.
 #[derive(Debug, thiserror::Error)]
-#[error("the client's response no longer takes its body")]
-pub(crate) struct BodyAbandoned;
+#[error("the client stopped receiving the response body")]
+pub(crate) struct BodyDropped;
 
 /// The attempt's side of a body.
-pub(crate) struct BodySender(mpsc::Sender<Piece>);
+pub(crate) struct BodySender(mpsc::Sender<BodyMessage>);
 
 impl BodySender {
-    /// Sends a piece, once the channel has capacity for it.
+    /// Sends a chunk, waiting for capacity in the channel.
     ///
     /// # Errors
     ///
-    /// The body was dropped: the client no longer reads it.
-    pub(crate) async fn send(&self, data: Bytes) -> Result<(), BodyAbandoned> {
-        let sent = self.0.send(Piece::Data(data)).await;
-        sent.map_err(|_| BodyAbandoned)
+    /// Fails if the body has been dropped: the client no longer reads it.
+    pub(crate) async fn send(&self, data: Bytes) -> Result<(), BodyDropped> {
+        let sent = self.0.send(BodyMessage::Data(data)).await;
+        sent.map_err(|_| BodyDropped)
     }
 
     /// Marks the body as complete.
     pub(crate) async fn finish(self) {
-        // Fails if the body was dropped, which then needs no end.
-        let _ = self.0.send(Piece::End).await;
+        // Fails if the body has been dropped, so that no end is needed.
+        let _ = self.0.send(BodyMessage::End).await;
     }
 }
 
 /// The client's side of a body.
 pub(crate) struct StreamingBody {
-    pieces: mpsc::Receiver<Piece>,
-    /// How many bytes are still to come, if the length is known.
+    chunks: mpsc::Receiver<BodyMessage>,
+    /// Number of bytes still to be received, if the length is known.
     bytes_left: Option<u64>,
-    /// The sender was dropped without an end.
+    /// Set once the sender has been dropped without finishing the body.
     is_broken: bool,
-    /// The connection that the body is written to: it awaits its next request once the body is dropped.
+    /// The connection to which the body is written. It awaits its next request once the body is dropped.
     connection: Option<Arc<ClientConnection>>,
-    /// Permits for the bytes that were read ahead; returned when the body is dropped.
+    /// Memory permits for the prefetched bytes, released when the body is dropped.
     _prefetch_permit: Option<OwnedSemaphorePermit>,
 }
 
-/// Both sides of a body, with its length where that is known.
+/// Creates both sides of a body whose length is `length`, if known.
 pub(crate) fn channel(
     length: Option<u64>,
     prefetch_permit: Option<OwnedSemaphorePermit>,
 ) -> (BodySender, StreamingBody) {
-    let (sender, pieces) = mpsc::channel(MAX_WAITING_PIECES);
+    let (sender, chunks) = mpsc::channel(CHANNEL_CAPACITY);
     let body = StreamingBody {
-        pieces,
+        chunks,
         bytes_left: length,
         is_broken: false,
         connection: None,
@@ -80,8 +79,8 @@
 }
 
 impl StreamingBody {
-    /// Has the connection await its next request only once the body is dropped.
-    pub(crate) fn occupy(&mut self, connection: Arc<ClientConnection>) {
+    /// Delays the connection's next request until the body is dropped.
+    pub(crate) fn hold_connection(&mut self, connection: Arc<ClientConnection>) {
         self.connection = Some(connection);
     }
 }
@@ -111,20 +110,20 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        Poll::Ready(match ready!(self.pieces.poll_recv(context)) {
-            Some(Piece::Data(data)) => {
+        Poll::Ready(match ready!(self.chunks.poll_recv(context)) {
+            Some(BodyMessage::Data(data)) => {
                 let sent = data.len() as u64;
                 self.bytes_left = self.bytes_left.map(|left| left.saturating_sub(sent));
                 Some(Ok(Frame::data(data)))
             }
-            Some(Piece::End) => None,
-            // The pieces before the break are written first: a connection that closed before the first byte would leave
-            // its request without any response.
+            Some(BodyMessage::End) => None,
+            // Yields once so that hyper writes the chunks received so far: if the connection closed before the first
+            // byte, the request would get no response at all.
             None if !std::mem::replace(&mut self.is_broken, true) => {
                 context.waker().wake_by_ref();
                 return Poll::Pending;
             }
-            // The client has to see that the body is incomplete.
+            // The error shows the client that the body is incomplete.
             None => Some(Err(io::ErrorKind::ConnectionAborted.into())),
         })
     }
--- a/src/daemon/server/submission.rs
+++ b/src/daemon/server/submission.rs
@@ -1,7 +1,6 @@
-//! Submits a request that was read completely to the engine, and waits for its response.
+//! Submits a completely received request to the engine and waits for its response.
 //!
-//! Owner: the request handler. Input: a [`Submission`]. Output: a message in the engine's queue, and later the one response.
-//! Invariant: where the wait is dropped before the response, the engine is notified that the client disconnected.
+//! If the wait is dropped before the response, the engine is notified that the client has disconnected.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -23,20 +22,20 @@
 use crate::server::request_body::ReceivedBody;
 use crate::server::response::ClientResponse;
 
-/// The engine's queue has no capacity left.
+/// The engine's queue is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the engine's queue is full")]
 pub(super) struct QueueFull;
 
-/// A request that was read completely.
+/// A completely received request.
 pub(super) struct Submission {
-    /// The request in the decision policy's terms.
+    /// The request for the decision policy.
     pub request: api::Request,
-    /// Its head, as it was received.
+    /// The head as received.
     pub head: Parts,
-    /// Its body.
+    /// The body.
     pub body: ReceivedBody,
-    /// When it has to be answered.
+    /// Deadline for the response.
     pub deadline: Instant,
 }
 
@@ -45,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// The queue is full: the engine never sees the request.
+    /// Fails if the queue is full; the request does not reach the engine then.
     pub(super) fn submit<'a>(
         self,
         context: &'a ServerContext,
@@ -82,7 +81,7 @@
     }
 }
 
-/// What of a request is forwarded to an endpoint.
+/// Builds the part of a request that is forwarded to endpoints.
 fn forwarded_request(head: Parts, body: ReceivedBody, client: ClientPresence) -> ForwardedRequest {
     ForwardedRequest {
         method: head.method,
@@ -97,14 +96,14 @@
     }
 }
 
-/// The response to a request that the engine has.
+/// The pending response to a submitted request.
 pub(super) struct PendingResponse<'a> {
     response: oneshot::Receiver<ClientResponse>,
     disconnect: DisconnectGuard<'a>,
 }
 
 impl PendingResponse<'_> {
-    /// Waits for the response. Dropping the wait reports to the engine that the client disconnected.
+    /// Waits for the response. Dropping the [`PendingResponse`] before that reports a disconnect to the engine.
     pub(super) async fn wait(&mut self) -> ClientResponse {
         let response = (&mut self.response).await;
         self.disconnect.has_response = true;
@@ -115,13 +114,13 @@
     }
 }
 
-/// Reports to the engine that the client disconnected, when it is dropped before the response is known.
+/// Reports to the engine that the client has disconnected, if dropped before the response is known.
 struct DisconnectGuard<'a> {
     request: RequestId,
     serial: u64,
     queue: &'a mpsc::Sender<Message>,
     has_response: bool,
-    /// Alive for as long as the client waits: see [`ClientPresence::waiting`].
+    /// Keeps [`ClientPresence::waiting`] alive while the client waits.
     _client: Arc<()>,
 }
 
@@ -130,7 +129,8 @@
         if self.has_response {
             return;
         }
-        // A full queue loses this message; the engine then reads the client's presence before it forwards the request.
+        // The message is lost if the queue is full. The engine also checks the client's presence before it forwards a
+        // request.
         let _ = self
             .queue
             .try_send(Message::ClientDisconnected(ClientDisconnected {
--- a/src/daemon/upstream/attempt.rs
+++ b/src/daemon/upstream/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt at an endpoint: runs the exchange until its result is known, and reports the result to the engine.
 //!
-//! Each attempt runs in a single task and sends one [`AttemptEnded`]. An attempt that was cancelled or timed out writes nothing
-//! after its report has been queued.
+//! Each attempt runs in a single task and sends one [`AttemptEnded`]. An attempt that was cancelled or timed out writes
+//! nothing after its report has been queued.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -94,9 +94,10 @@
     Streaming(UpstreamResponse),
 }
 
-/// Waits for the first event that determines the result of an attempt. Unless that is a streaming response, the exchange is not
-/// polled afterwards and is dropped in the same poll in which the report is queued. Its connection is therefore closed before
-/// the engine sees the report, and no more of the request is sent. This relies on the single-threaded runtime (`serve`).
+/// Waits for the first event that determines the result of an attempt. Unless that is a streaming response, the
+/// exchange is not polled afterwards and is dropped in the same poll in which the report is queued. Its connection is
+/// therefore closed before the engine sees the report, and no more of the request is sent. This relies on the
+/// single-threaded runtime (`serve`).
 async fn await_deciding_event(
     exchange: Pin<&mut impl Future<Output = Result<UpstreamResponse, Outcome>>>,
     stream_started: &mut oneshot::Receiver<UpstreamResponse>,
--- a/src/daemon/upstream/body.rs
+++ b/src/daemon/upstream/body.rs
@@ -13,8 +13,8 @@
 
 /// A response of unknown length is prefetched for this long before it is streamed. Most are complete by then.
 const PREFETCH_TIMEOUT: Duration = Duration::from_millis(100);
-/// A streamed response may make no progress for this long, on either side. Bounds how long a silent endpoint or a client that
-/// has stopped reading can occupy two connections.
+/// A streamed response may make no progress for this long, on either side. Bounds how long a silent endpoint or a
+/// client that has stopped reading can occupy two connections.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The body of an endpoint's response.
@@ -46,8 +46,8 @@
     }
 }
 
-/// Prefetches a body; `None` if it is malformed. A body of unknown length may be a stream whose first bytes the client needs
-/// immediately, so it is prefetched for a short time only.
+/// Prefetches a body; `None` if it is malformed. A body of unknown length may be a stream whose first bytes the client
+/// needs immediately, so it is prefetched for a short time only.
 pub(super) async fn prefetch(body: &mut UpstreamBody) -> Option<Prefetched> {
     let mut received = BytesMut::new();
     let timeout = match body.size_hint().exact() {
--- a/src/daemon/upstream/connection.rs
+++ b/src/daemon/upstream/connection.rs
@@ -1,8 +1,8 @@
 //! A connection to an endpoint or to discovery, whose hyper connection is polled by the task that uses it.
 //!
-//! A connection belongs to the pool while it is idle and to an attempt while it is in use. Bytes written are counted, and the
-//! socket itself is checked before the connection is reused. Since no background task polls it, dropping a connection closes
-//! it immediately.
+//! A connection belongs to the pool while it is idle and to an attempt while it is in use. Bytes written are counted,
+//! and the socket itself is checked before the connection is reused. Since no background task polls it, dropping a
+//! connection closes it immediately.
 
 use std::future::{poll_fn, Future};
 use std::io;
@@ -33,8 +33,8 @@
 /// Size limit of a connection's read buffer, which bounds a response head and the part of a body that hyper buffers.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Polls a connection together with the work that uses it. Returns `None` if the connection ends before the work, unless
-/// `is_streaming` returns true: the received part of the response is then still being forwarded.
+/// Polls a connection together with the work that uses it. Returns `None` if the connection ends before the work,
+/// unless `is_streaming` returns true: the received part of the response is then still being forwarded.
 pub(crate) async fn drive<I, B, F>(
     connection: &mut http1::Connection<I, B>,
     work: F,
@@ -90,8 +90,9 @@
     ) -> Poll<io::Result<()>> {
         let watch = &*self.0;
         if watch.check_socket.swap(false, Ordering::Relaxed) {
-            // The kernel may have received data that the reactor has not noticed yet. On an idle connection that is either the
-            // end of the connection, or bytes that belong to no request and would be read as the response to the next one.
+            // The kernel may have received data that the reactor has not noticed yet. On an idle connection that is
+            // either the end of the connection, or bytes that belong to no request and would be read as the response to
+            // the next one.
             match SockRef::from(&*stream).peek(&mut [MaybeUninit::uninit()]) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Poll::Ready(Err(error)),
--- a/src/daemon/upstream/deadlines.rs
+++ b/src/daemon/upstream/deadlines.rs
@@ -7,8 +7,8 @@
 pub(crate) struct AttemptDeadlines {
     /// The attempt times out unless its response is complete, or has begun to stream, by this time.
     pub response_by: Instant,
-    /// Deadline for the first byte of the request if an earlier attempt may have been executed: after it, endpoints may not
-    /// recognize the request as a retry.
+    /// Deadline for the first byte of the request if an earlier attempt may have been executed: after it, endpoints may
+    /// not recognize the request as a retry.
     pub first_byte_by: Option<Instant>,
     /// Deadline for the response of a retry; `None` if no retry is allowed.
     pub retry_response_by: Option<Instant>,
--- a/src/daemon/upstream/endpoint.rs
+++ b/src/daemon/upstream/endpoint.rs
@@ -30,8 +30,8 @@
 
 /// One endpoint.
 pub(super) struct UpstreamEndpoint {
-    /// Protects address, draining flag and idle connections, which change together. Held only briefly by the pool and by
-    /// attempts.
+    /// Protects address, draining flag and idle connections, which change together. Held only briefly by the pool and
+    /// by attempts.
     connections: Mutex<EndpointConnections>,
 }
 
--- a/src/daemon/upstream/exchange.rs
+++ b/src/daemon/upstream/exchange.rs
@@ -1,8 +1,8 @@
 //! One request and its response over one connection to an endpoint.
 //!
-//! The exchange and hyper's connection are polled in the attempt's task. A request is sent at most once. Dropping the exchange
-//! closes its connection; the connection is reused only after the response has been read completely. On failure, the number
-//! of bytes written determines whether the request may have been executed.
+//! The exchange and hyper's connection are polled in the attempt's task. A request is sent at most once. Dropping the
+//! exchange closes its connection; the connection is reused only after the response has been read completely. On
+//! failure, the number of bytes written determines whether the request may have been executed.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -52,8 +52,8 @@
 }
 
 impl Exchange<'_> {
-    /// Runs the exchange. A response that is streamed is sent to `stream_start` when it begins; the exchange then ends with the
-    /// body. An error is the outcome of an exchange without a response.
+    /// Runs the exchange. A response that is streamed is sent to `stream_start` when it begins; the exchange then ends
+    /// with the body. An error is the outcome of an exchange without a response.
     pub(super) async fn run(
         &self,
         lease: ConnectionLease,
@@ -91,7 +91,8 @@
                 if connection.is_usable().await {
                     return Ok(connection);
                 }
-                // The endpoint closed it while it was idle. Nothing has been written on it, so a new connection may replace it.
+                // The endpoint closed it while it was idle. Nothing has been written on it, so a new connection may
+                // replace it.
                 connection.close()
             }
             ConnectionLease::Permit(permit) => permit,
@@ -204,8 +205,8 @@
         is_forwarded.then(|| response(parts.headers, ResponseBody::Buffered(Bytes::new())))
     }
 
-    /// Acquires memory permits to prefetch a body of this length. `None` if the body is too long or not enough permits are
-    /// available: the body is then streamed at the rate at which the client reads.
+    /// Acquires memory permits to prefetch a body of this length. `None` if the body is too long or not enough permits
+    /// are available: the body is then streamed at the rate at which the client reads.
     fn acquire_prefetch(&self, length: Option<u64>) -> Option<OwnedSemaphorePermit> {
         let bytes = length.unwrap_or(MAX_BODY_BYTES as u64);
         if bytes > MAX_BODY_BYTES as u64 {
--- a/src/daemon/upstream/exchange/tests.rs
+++ b/src/daemon/upstream/exchange/tests.rs
@@ -60,7 +60,8 @@
     }
 }
 
-/// The outcome of one attempt at an address whose endpoint may be draining. The timeout is far longer than an attempt takes.
+/// The outcome of one attempt at an address whose endpoint may be draining. The timeout is far longer than an attempt
+/// takes.
 async fn attempt(address: SocketAddr, draining: bool) -> Option<Outcome> {
     attempt_of(forwarded(), address, draining).await
 }
--- a/src/daemon/upstream/pacing.rs
+++ b/src/daemon/upstream/pacing.rs
@@ -1,5 +1,5 @@
-//! Slow-peer protection for endpoints' responses: abandons a response that stalls or is too slow, provided that there is time
-//! for a retry.
+//! Slow-peer protection for endpoints' responses: abandons a response that stalls or is too slow, provided that there
+//! is time for a retry.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -26,8 +26,8 @@
 }
 
 impl ResponsePacing {
-    /// True while there is time for a retry, should the policy decide on one. Otherwise nothing is gained by abandoning the
-    /// response.
+    /// True while there is time for a retry, should the policy decide on one. Otherwise nothing is gained by abandoning
+    /// the response.
     fn leaves_time_to_retry(&self, deadlines: AttemptDeadlines) -> bool {
         let min_time_left = self.monitor.settings().retry_room.0;
         deadlines
@@ -45,8 +45,8 @@
         self.monitor.record(unknown_owner, event);
     }
 
-    /// Completes when a response head has begun to arrive and then takes longer than the maximum pause in a response. Never
-    /// completes if there is no time for a retry.
+    /// Completes when a response head has begun to arrive and then takes longer than the maximum pause in a response.
+    /// Never completes if there is no time for a retry.
     pub(super) async fn wait_for_stalled_head(
         &self,
         watch: &ConnectionWatch,
--- a/src/daemon/upstream/pool.rs
+++ b/src/daemon/upstream/pool.rs
@@ -1,7 +1,7 @@
 //! The connection pool: endpoints, their idle connections, and the attempts started on them.
 //!
-//! Each started attempt sends one message to the engine's queue. The number of connections never exceeds [`PoolLimits`]. A
-//! draining endpoint gets no new attempts, and its idle connections are closed.
+//! Each started attempt sends one message to the engine's queue. The number of connections never exceeds
+//! [`PoolLimits`]. A draining endpoint gets no new attempts, and its idle connections are closed.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,8 +20,8 @@
 use crate::upstream::endpoint::{ConnectionLease, Timeouts, UpstreamEndpoint};
 use crate::upstream::pacing::ResponsePacing;
 
-/// Fraction of the endpoint's idle timeout after which the pool closes an idle connection. A request sent while the endpoint
-/// closes the connection would be reset.
+/// Fraction of the endpoint's idle timeout after which the pool closes an idle connection. A request sent while the
+/// endpoint closes the connection would be reset.
 const IDLE_LIMIT_FRACTION: f64 = 0.6;
 
 /// Limits of the pool's connections and memory.
@@ -92,7 +92,8 @@
                 .idle
                 .retain(|connection| connection.address == *address);
         }
-        // Dropping an endpoint closes its idle connections. Attempts in flight still share it and see that it is draining.
+        // Dropping an endpoint closes its idle connections. Attempts in flight still share it and see that it is
+        // draining.
         self.endpoints
             .retain(|_, endpoint| !endpoint.lock().draining);
     }
@@ -161,8 +162,8 @@
         })
     }
 
-    /// Starts an attempt in its own task, which sends one report. The task is not joined: it ends at its deadline, or when the
-    /// returned sender is dropped, which cancels the attempt.
+    /// Starts an attempt in its own task, which sends one report. The task is not joined: it ends at its deadline, or
+    /// when the returned sender is dropped, which cancels the attempt.
     ///
     /// # Errors
     ///
--- a/src/daemon/upstream/pool/tests.rs
+++ b/src/daemon/upstream/pool/tests.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// A pool with one endpoint, one connection permit and no memory for prefetching, so that responses are streamed from their
-/// first chunk.
+/// A pool with one endpoint, one connection permit and no memory for prefetching, so that responses are streamed from
+/// their first chunk.
 fn pool_of_one(address: SocketAddr, queue: mpsc::Sender<Message>) -> ConnectionPool {
     let settings = PlatformConfig::sample().settings;
     let limits = PoolLimits {
--- a/src/daemon/upstream/response.rs
+++ b/src/daemon/upstream/response.rs
@@ -1,6 +1,8 @@
-//! Evaluates an endpoint's response: whether the request was executed, whether the response is complete, and its load report.
+//! Evaluates an endpoint's response: whether the request was executed, whether the response is complete, and its load
+//! report.
 //!
-//! Only the endpoint's `x-unprocessed` header, or the fact that nothing was written, proves that a request was never executed.
+//! Only the endpoint's `x-unprocessed` header, or the fact that nothing was written, proves that a request was never
+//! executed.
 
 use std::ops::RangeInclusive;
 
@@ -17,7 +19,7 @@
 /// Maximum Content-Length of a response, 1 GiB; a response with a larger one is malformed.
 const MAX_ANNOUNCED_BYTES: u64 = 1 << 30;
 
-/// Whether a request may have been executed whose exchange ended without a complete response.
+/// Whether a request without a complete response may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExchangeFailure {
     /// No byte was written.
@@ -60,8 +62,8 @@
     }
 }
 
-/// True if exactly one header frames the response, or if the response ends with its connection. Without either the response
-/// may have been truncated, and with two framings it may contain a second response.
+/// True if exactly one header frames the response, or if the response ends with its connection. Without either the
+/// response may have been truncated, and with two framings it may contain a second response.
 pub(super) fn is_delimited(version: Version, status: StatusCode, headers: &HeaderMap) -> bool {
     if status == StatusCode::SWITCHING_PROTOCOLS {
         return false;
@@ -80,7 +82,8 @@
             .and_then(|length| length.parse().ok())
             .is_some_and(|length: u64| length <= MAX_ANNOUNCED_BYTES),
         (None, None, Some(coding), None) => coding.as_bytes().eq_ignore_ascii_case(b"chunked"),
-        // Responses with these two statuses have no body. As in HTTP/1.0, a body of unknown length ends with its connection.
+        // Responses with these two statuses have no body. As in HTTP/1.0, a body of unknown length ends with its
+        // connection.
         (None, None, None, None) => {
             [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&status)
                 || version == Version::HTTP_10
