--- a/src/daemon/serve.rs
+++ b/src/daemon/serve.rs
@@ -20,10 +20,10 @@
 use crate::server::listener::BindError;
 use crate::system::peer_socket::PeerSocketError;
 
-mod foundation;
+mod bootstrap;
 mod node;
 
-use foundation::Prepared;
+use bootstrap::BootstrapResult;
 use node::Node;
 
 /// The reason for which the node could not start, or ended before it was told to stop.
@@ -79,17 +79,17 @@
 ) -> Result<(), ServeError> {
     // Installed before everything else: the default action of SIGTERM would kill the process.
     let signals = Signals::new()?;
-    let Prepared {
-        foundation,
+    let BootstrapResult {
+        bootstrap,
         start,
         sockets,
-    } = foundation::prepare(platform_config).await?;
-    let (publishers, admin) = (foundation.publishers, foundation.admin);
+    } = bootstrap::run(platform_config).await?;
+    let (publishers, admin) = (bootstrap.publishers, bootstrap.admin);
     let (mut node, role, messages) = Node::new(
-        foundation.config,
+        bootstrap.config,
         start.clock,
         sockets.peers,
-        foundation.tasks,
+        bootstrap.tasks,
     );
     let zones = node.zone_failover(&operator_config);
     node.schedule_startup(&operator_config, publishers.has_endpoints);
@@ -98,13 +98,13 @@
     let monitors = node.start_slow_peer_protection(&reloaded);
     let engine = node.engine(start.initial_state, zones, monitors.clone());
     let mut engine_task = JoinSet::new();
-    engine_task.spawn(engine.run(messages, foundation.receivers.control));
+    engine_task.spawn(engine.run(messages, bootstrap.receivers.control));
     node.start_gossip();
     node.start_endpoint_watch(reloaded.discovery, endpoint_updates);
     node.start_lifecycle(LifecycleDriver {
         signals,
         phase: publishers.phase,
-        drain_requests: foundation.receivers.drain_requests,
+        drain_requests: bootstrap.receivers.drain_requests,
         status: node.status.clone(),
         deadlines: node.shutdown_deadlines(),
         is_draining: start.is_draining,
@@ -113,7 +113,7 @@
     let acceptor = node.acceptor(&admin, monitors);
     // `admin` is kept until the end of this function: the queues of admin commands close when their last sender is
     // dropped.
-    node.start_hot_restart(foundation.transfer, role, admin.clone(), start.old_process)
+    node.start_hot_restart(bootstrap.transfer, role, admin.clone(), start.old_process)
         .await;
     serve_until_stopped(acceptor, sockets.listener, engine_task).await
 }
--- a/src/daemon/serve/foundation.rs
+++ b/src/daemon/serve/bootstrap.rs
@@ -26,11 +26,11 @@
 use crate::system::peer_socket::PeerSocket;
 
 /// The result of the first steps of the startup.
-pub(super) struct Prepared {
+pub(super) struct BootstrapResult {
     /// The part that does not depend on an old process.
-    pub foundation: Foundation,
+    pub bootstrap: Bootstrap,
     /// The state that the node starts with.
-    pub start: StartingPoint,
+    pub start: StartState,
     /// The open sockets.
     pub sockets: Sockets,
 }
@@ -40,16 +40,14 @@
 /// # Errors
 ///
 /// Fails if an address cannot be bound, or if the inherited socket cannot be used.
-pub(super) async fn prepare(config: PlatformConfig) -> Result<Prepared, ServeError> {
-    let mut foundation = Foundation::new(config)?;
+pub(super) async fn run(config: PlatformConfig) -> Result<BootstrapResult, ServeError> {
+    let mut bootstrap = Bootstrap::new(config)?;
     // Started first, so that `READY` is answered while later steps wait for another process or for the system.
-    foundation.start_admin_listener().await?;
-    let mut start = foundation.take_over().await;
-    let sockets = foundation
-        .open_sockets(start.datagram_socket.take())
-        .await?;
-    Ok(Prepared {
-        foundation,
+    bootstrap.start_admin_listener().await?;
+    let mut start = bootstrap.take_over().await;
+    let sockets = bootstrap.open_sockets(start.datagram_socket.take()).await?;
+    Ok(BootstrapResult {
+        bootstrap,
         start,
         sockets,
     })
@@ -78,7 +76,7 @@
 }
 
 /// The part of the node that is created before the state of an old process is known.
-pub(super) struct Foundation {
+pub(super) struct Bootstrap {
     /// The configuration, in which port 0 is replaced by the bound port.
     pub config: PlatformConfig,
     /// The listening socket passed by the platform (`GW_FD`), if any.
@@ -96,7 +94,7 @@
 }
 
 /// The state that the node starts with.
-pub(super) struct StartingPoint {
+pub(super) struct StartState {
     /// The engine's clock.
     pub clock: Clock,
     /// The engine's initial state.
@@ -117,7 +115,7 @@
     pub listener: TcpListener,
 }
 
-impl Foundation {
+impl Bootstrap {
     fn new(mut config: PlatformConfig) -> Result<Self, ServeError> {
         let inherited_socket = inherited_socket::descriptor()?;
         let shared_directory = inherited_socket
@@ -145,7 +143,7 @@
             other_process: other_process_reader,
             maintenance_lock: Arc::default(),
         };
-        Ok(Foundation {
+        Ok(Bootstrap {
             config,
             inherited_socket,
             transfer: TransferContext {
@@ -175,7 +173,7 @@
     }
 
     /// Receives the state of the old process, if there is one.
-    async fn take_over(&mut self) -> StartingPoint {
+    async fn take_over(&mut self) -> StartState {
         let received = match &self.transfer.shared_directory {
             Some(shared_directory) => hot_restart::receive_transfer(shared_directory).await,
             None => None,
@@ -187,10 +185,10 @@
     }
 
     /// Starts with the state of the old process.
-    fn resume(&mut self, transfer: ReceivedTransfer) -> StartingPoint {
+    fn resume(&mut self, transfer: ReceivedTransfer) -> StartState {
         let state = transfer.state;
         self.transfer.inherited_maintenance = Some(state.maintenance.clone());
-        StartingPoint {
+        StartState {
             clock: Clock::resume_at(state.now_ns),
             is_draining: state.draining,
             initial_state: InitialState::HotRestart(state),
@@ -200,7 +198,7 @@
     }
 
     /// Starts without the state of an old process.
-    fn start_new(&self) -> StartingPoint {
+    fn start_new(&self) -> StartState {
         let initial_state = match &self.transfer.shared_directory {
             Some(directory) => InitialState::Maintenance(directory.read_maintenance_set()),
             None if self.config.admin_listen.is_some() => {
@@ -208,7 +206,7 @@
             }
             None => InitialState::WithoutAdmin,
         };
-        StartingPoint {
+        StartState {
             clock: Clock::start(),
             is_draining: false,
             initial_state,
--- a/src/daemon/serve/node.rs
+++ b/src/daemon/serve/node.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::task::JoinSet;
 
-use super::foundation::TransferContext;
+use super::bootstrap::TransferContext;
 use crate::admin::handle::AdminHandle;
 use crate::admin::state_writer::StateWriter;
 use crate::clock::Clock;
