--- a/src/daemon/engine/effects.rs
+++ b/src/daemon/engine/effects.rs
@@ -21,7 +21,6 @@
         self.actions = actions;
     }
 
-    /// Performs one action.
     pub(super) fn perform(&mut self, action: Action) {
         match action {
             Action::StartAttempt {
@@ -85,7 +84,6 @@
     }
 }
 
-/// Logs an event of the policy.
 fn log(event: &LogEvent) {
     match event {
         LogEvent::FilterChanged {
--- a/src/daemon/engine/message.rs
+++ b/src/daemon/engine/message.rs
@@ -31,7 +31,7 @@
 
 /// A client's request.
 pub(crate) struct ClientRequest {
-    /// The request in the decision policy's terms.
+    /// The request as passed to the decision policy.
     pub request: api::Request,
     /// Distinguishes this request from others with the same client-supplied id.
     pub serial: u64,
@@ -45,7 +45,6 @@
 
 /// The parts of a request that are forwarded to an endpoint unchanged.
 pub(crate) struct ForwardedRequest {
-    /// The request's method.
     pub method: Method,
     /// Path and query.
     pub target: Uri,
@@ -136,7 +135,7 @@
 /// An endpoint as listed by discovery.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointEntry {
-    /// The endpoint in the decision policy's terms.
+    /// The endpoint as passed to the decision policy.
     pub endpoint: Endpoint,
     /// The address on which it accepts connections.
     pub address: SocketAddr,
@@ -146,6 +145,5 @@
 pub(crate) struct PeerDatagram {
     /// The sender.
     pub from: NodeId,
-    /// The datagram's text.
     pub text: String,
 }
--- a/src/daemon/engine/mod.rs
+++ b/src/daemon/engine/mod.rs
@@ -82,7 +82,7 @@
     applies_until_ns: u64,
 }
 
-/// See the [module documentation](self).
+/// The engine's state; [`Engine::run`] is the event loop.
 pub(crate) struct Engine {
     policy: DecisionPolicy,
     settings: Arc<PlatformSettings>,
--- a/src/daemon/engine/pending_request.rs
+++ b/src/daemon/engine/pending_request.rs
@@ -24,7 +24,7 @@
     pub cancel: Option<oneshot::Sender<()>>,
 }
 
-/// See the [module documentation](self).
+/// A request that still needs its response or has an attempt in flight.
 pub(super) struct PendingRequest {
     /// Distinguishes this request from others with the same client-supplied id.
     pub serial: u64,
@@ -34,7 +34,6 @@
     pub forwarded: Arc<ForwardedRequest>,
     /// The client's deadline, on the engine's clock.
     pub deadline_ns: u64,
-    /// The request's class.
     pub class: ClassId,
     /// Number of attempts that the policy has decided on, including those that were not started; also the number of the
     /// next attempt.
--- a/src/daemon/engine/tests.rs
+++ b/src/daemon/engine/tests.rs
@@ -245,7 +245,7 @@
         .is_ok());
     tokio::select! {
         biased;
-        () = engine.run(inbox, commands_in) => panic!("the queue has senders"),
+        () = engine.run(inbox, commands_in) => panic!("the engine stopped although its queue has senders"),
         response = response => {
             let response = response.expect("an answer").0.to_string();
             assert!(response.starts_with("error no instance"), "{response}");
@@ -335,7 +335,7 @@
     let mut again = submit_request(&mut engine);
     assert!(
         again.try_recv().is_err(),
-        "the former request's response is dropped"
+        "the response to the first request reached the second one"
     );
     engine.handle_message(attempt_ended(0, Outcome::Success));
     assert!(matches!(again.try_recv(), Ok(ClientResponse::Served(..))));
--- a/src/daemon/engine/timers.rs
+++ b/src/daemon/engine/timers.rs
@@ -49,7 +49,7 @@
     request: RequestId,
 }
 
-/// See the [module documentation](self).
+/// All timers and last-resort responses that are scheduled.
 pub(super) struct Timers {
     scheduled: BinaryHeap<Reverse<ScheduledTimer>>,
     last_resorts: BTreeSet<LastResort>,
@@ -67,12 +67,11 @@
         timers
     }
 
-    /// Schedules a timer.
     pub(super) fn schedule(&mut self, at: u64, timer: Timer) {
         self.scheduled.push(Reverse(ScheduledTimer { at, timer }));
     }
 
-    /// Schedules the next sweep of idle connections.
+    /// Schedules the next sweep of idle upstream connections.
     pub(super) fn schedule_idle_sweep(&mut self, now: u64) {
         self.schedule(now + IDLE_SWEEP_INTERVAL_NS, Timer::IdleSweep);
     }
@@ -82,7 +81,6 @@
         self.schedule(now + STATISTICS_INTERVAL_NS, Timer::Statistics);
     }
 
-    /// Schedules a request's last-resort response.
     pub(super) fn schedule_last_resort(&mut self, at: u64, request: RequestId) {
         self.last_resorts.insert(LastResort { at, request });
     }
--- a/src/daemon/resources/connection_budget.rs
+++ b/src/daemon/resources/connection_budget.rs
@@ -27,7 +27,6 @@
 }
 
 impl ConnectionBudget {
-    /// Divides `max_descriptors`.
     pub(crate) fn new(max_descriptors: usize) -> Self {
         let clients = max_descriptors.div_ceil(CLIENT_DIVISOR);
         let spare = max_descriptors / SPARE_DIVISOR;
--- a/src/daemon/serve/bootstrap.rs
+++ b/src/daemon/serve/bootstrap.rs
@@ -55,7 +55,6 @@
 
 /// Senders that publish the state of the process to the admin listener and the acceptor.
 pub(super) struct Publishers {
-    /// The lifecycle phase.
     pub phase: watch::Sender<LifecyclePhase>,
     /// Set once there is an endpoint list, or if the node does not have to wait for one.
     pub has_endpoints: watch::Sender<bool>,
@@ -85,7 +84,7 @@
     pub transfer: TransferContext,
     /// Executes admin commands.
     pub admin: AdminHandle,
-    /// Publish state to the admin handle and the acceptor.
+    /// Senders that publish state to the admin handle and the acceptor.
     pub publishers: Publishers,
     /// Receivers of the admin handle's queues.
     pub receivers: AdminReceivers,
--- a/src/daemon/serve/node.rs
+++ b/src/daemon/serve/node.rs
@@ -141,7 +141,6 @@
         monitors
     }
 
-    /// Creates the engine.
     pub(super) fn engine(
         &self,
         initial_state: InitialState,
@@ -201,12 +200,10 @@
         ShutdownDeadlines::new(Duration::from_nanos(longest.unwrap_or(0)))
     }
 
-    /// Starts the lifecycle driver.
     pub(super) fn start_lifecycle(&mut self, driver: LifecycleDriver) {
         self.tasks.spawn(driver.run());
     }
 
-    /// Creates the acceptor of client connections.
     pub(super) fn acceptor(&self, admin: &AdminHandle, monitors: TransferMonitors) -> Acceptor {
         let dependencies = acceptor::Dependencies {
             clock: self.clock,
--- a/src/daemon/server/acceptor.rs
+++ b/src/daemon/server/acceptor.rs
@@ -51,7 +51,7 @@
     pub status: ProcessStatus,
 }
 
-/// See the [module documentation](self).
+/// Accepts client connections and starts their tasks.
 pub(crate) struct Acceptor {
     role: watch::Receiver<ProcessRole>,
     shutdown_times: Arc<OnceLock<ShutdownTimes>>,
--- a/src/daemon/server/acceptor/tests.rs
+++ b/src/daemon/server/acceptor/tests.rs
@@ -89,7 +89,7 @@
     let evicted = tokio::time::timeout(Duration::from_secs(30), evicted.evicted.notified()).await;
     assert!(
         evicted.is_ok(),
-        "all idle connections stay until there is no permit left"
+        "no idle connection was evicted before all permits were taken"
     );
 }
 
@@ -103,11 +103,11 @@
     client
         .write_all(b"GET /api HTTP/1.1\r\nHost: x\r\n\r\n")
         .await
-        .expect("written");
+        .expect("request sent");
     client
         .read_to_string(&mut response)
         .await
-        .expect("an answer and the end");
+        .expect("a response and the end of the connection");
     assert!(
         response.starts_with("HTTP/1.1 503 ") && response.contains("retry-after: 0.200\r\n"),
         "{response}"
@@ -120,8 +120,8 @@
     drop(
         tokio::time::timeout(Duration::from_secs(30), spare)
             .await
-            .expect("in time")
-            .expect("open"),
+            .expect("permits are released in time")
+            .expect("the semaphore stays open"),
     );
 }
 
@@ -144,7 +144,7 @@
                 .permits
                 .clone()
                 .try_acquire_many_owned(all)
-                .expect("free")
+                .expect("all permits are free")
         });
         let exit_at = Instant::now() + Duration::from_secs(30);
         let release = async {
@@ -159,13 +159,13 @@
         for client in &mut clients {
             let (stream, mut start) = (client.try_clone().expect("a copy"), [0; 12]);
             std::io::Write::write_all(client, b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-                .expect("open");
-            stream.set_nonblocking(true).expect("set");
+                .expect("request sent");
+            stream.set_nonblocking(true).expect("set blocking mode");
             let mut stream = TcpStream::from_std(stream).expect("a stream");
             let read = tokio::time::timeout(Duration::from_secs(30), stream.read_exact(&mut start));
             read.await
-                .expect("in time")
-                .expect("an answer, and no reset");
+                .expect("a response in time")
+                .expect("a response, and no reset");
             assert_eq!(&start, b"HTTP/1.1 200");
         }
     }
@@ -176,7 +176,8 @@
     let mut response = Vec::new();
     let read = client.read_to_end(&mut response);
     let read = tokio::time::timeout(Duration::from_secs(30), read).await;
-    read.expect("in time").expect("no reset");
+    read.expect("the connection ends in time")
+        .expect("no reset");
     String::from_utf8(response).expect("text")
 }
 
@@ -189,11 +190,12 @@
     let mut address = "127.0.0.1:0".parse().expect("an address");
     let listener = listen(&mut address, 16).await.expect("a listener");
     let mut client = std::net::TcpStream::connect(address).expect("accepted by the kernel");
-    std::io::Write::write_all(&mut client, b"GET /api HTTP/1.1\r\nHost: x\r\n\r\n").expect("open");
+    std::io::Write::write_all(&mut client, b"GET /api HTTP/1.1\r\nHost: x\r\n\r\n")
+        .expect("request sent");
     let listener = listener.into_std().expect("a listener");
-    listener.set_nonblocking(false).expect("set");
+    listener.set_nonblocking(false).expect("set blocking mode");
     let (stream, peer) = listener.accept().expect("a connection");
-    stream.set_nonblocking(true).expect("set");
+    stream.set_nonblocking(true).expect("set blocking mode");
     let stream = TcpStream::from_std(stream).expect("a stream");
     let permit = acceptor
         .admission
@@ -204,9 +206,9 @@
     acceptor.serve_connection(stream, peer, permit);
     assert!(
         acceptor.admission.evict_one(Duration::ZERO),
-        "the only connection"
+        "the only connection is evicted"
     );
-    client.set_nonblocking(true).expect("set");
+    client.set_nonblocking(true).expect("set blocking mode");
     let mut client = TcpStream::from_std(client).expect("a stream");
     let response = read_to_end(&mut client).await;
     assert!(response.starts_with("HTTP/1.1 503 "), "{response:?}");
@@ -220,13 +222,13 @@
     client
         .write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\nGET /ap")
         .await
-        .expect("written");
+        .expect("request sent");
     let mut first = [0; 12];
-    client.read_exact(&mut first).await.expect("an answer");
+    client.read_exact(&mut first).await.expect("a response");
     assert_eq!(&first, b"HTTP/1.1 200");
     assert!(
         acceptor.admission.evict_one(Duration::ZERO),
-        "the only connection"
+        "the only connection is evicted"
     );
     let rest = read_to_end(&mut client).await;
     assert!(rest.contains("HTTP/1.1 503 "), "{rest:?}");
@@ -238,7 +240,7 @@
     let mut client = acceptor.connection().await;
     assert!(
         acceptor.admission.evict_one(Duration::ZERO),
-        "the only connection"
+        "the only connection is evicted"
     );
     assert_eq!(read_to_end(&mut client).await, "");
 }
@@ -258,7 +260,7 @@
     client
         .write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
         .await
-        .expect("written");
+        .expect("request sent");
     let response = read_to_end(&mut client).await;
     assert!(response.starts_with("HTTP/1.1 200 "), "{response:?}");
 }
--- a/src/daemon/server/admission.rs
+++ b/src/daemon/server/admission.rs
@@ -23,7 +23,7 @@
 /// meanwhile.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// See the [module documentation](self).
+/// Decides on the admission and eviction of client connections.
 pub(super) struct ConnectionAdmission {
     /// One permit per client connection, including those whose requests are only rejected.
     pub permits: Arc<Semaphore>,
@@ -84,7 +84,6 @@
         (self.budget.clients + self.budget.spare) as u32
     }
 
-    /// Number of open connections.
     pub(super) fn open_connections(&self) -> usize {
         self.budget.clients + self.budget.spare - self.permits.available_permits()
     }
--- a/src/daemon/server/client_socket.rs
+++ b/src/daemon/server/client_socket.rs
@@ -11,7 +11,7 @@
 use socket2::SockRef;
 use tokio::net::TcpStream;
 
-/// See the [module documentation](self).
+/// The descriptor of a client's socket, for checks that do not depend on the reactor.
 #[derive(Debug, Default)]
 pub(crate) struct ClientSocket {
     /// The mutex prevents the descriptor from being closed during a peek; it is held for one system call.
--- a/src/daemon/server/client_socket/tests.rs
+++ b/src/daemon/server/client_socket/tests.rs
@@ -32,6 +32,6 @@
     let (mut client, stream) = connection().await;
     let socket = ClientSocket::default();
     socket.attach(&stream);
-    client.write_all(b"GET").expect("open");
+    client.write_all(b"GET").expect("request sent");
     assert!(!socket.is_closed());
 }
--- a/src/daemon/server/connection_table.rs
+++ b/src/daemon/server/connection_table.rs
@@ -34,7 +34,6 @@
     }
 }
 
-/// An entry of the table.
 struct TableEntry {
     connection: Weak<ClientConnection>,
     since: Instant,
@@ -69,7 +68,7 @@
     since: Instant,
 }
 
-/// See the [module documentation](self).
+/// The connections that await a request; shared by all client connections.
 pub(crate) struct ConnectionTable {
     /// Held for one insertion, removal or search, never across an await point.
     queue: Mutex<EvictionQueue>,
@@ -87,7 +86,7 @@
 }
 
 impl ConnectionTable {
-    /// Adds a connection that awaits a request from now on.
+    /// Adds a connection that has begun to await a request.
     fn add(&self, connection: &Arc<ClientConnection>) {
         let mut queue = self.lock();
         queue.last_position += 1;
--- a/src/daemon/server/context.rs
+++ b/src/daemon/server/context.rs
@@ -12,17 +12,15 @@
 use crate::engine::message::Message;
 use crate::lifecycle::process_role::ProcessStatus;
 
-/// See the [module documentation](self).
+/// State shared by all client connections.
 pub(crate) struct ServerContext {
-    /// The platform's settings.
     pub settings: Arc<PlatformSettings>,
     /// The engine's queue.
     pub queue: mpsc::Sender<Message>,
-    /// The lifecycle phase.
     pub phases: watch::Receiver<LifecyclePhase>,
     /// True once there is an endpoint list.
     pub has_endpoint_list: watch::Receiver<bool>,
-    /// The next request's serial.
+    /// The serial of the next request.
     pub serials: AtomicU64,
     /// Bounds the memory of request bodies: one permit per byte, released when the body is dropped.
     pub body_permits: Arc<Semaphore>,
--- a/src/daemon/server/framing.rs
+++ b/src/daemon/server/framing.rs
@@ -29,7 +29,7 @@
 /// A client's stream whose input is checked by a [`RequestGuard`].
 pub(crate) type GuardedStream = CountingIo<RequestGuard>;
 
-/// See the [module documentation](self).
+/// Observes the input and output of one client connection.
 pub(crate) struct RequestGuard {
     /// The registration with slow-peer protection, which counts the bytes written. It refers to the stream's
     /// descriptor.
--- a/src/daemon/server/framing/tests.rs
+++ b/src/daemon/server/framing/tests.rs
@@ -66,13 +66,13 @@
     assert_eq!(guarded.read(&mut [0; 64]).await.unwrap(), 0);
     assert!(
         connection.has_unread_input(),
-        "the connection has to close with its response"
+        "the connection has to close after its response"
     );
     connection.await_request();
     assert_eq!(
         guarded.read(&mut [0; 64]).await.unwrap(),
         0,
-        "not even what was stored"
+        "stored bytes were read as a request"
     );
 }
 
@@ -92,7 +92,10 @@
         let mut one = [0; 1];
         let read =
             tokio::time::timeout(std::time::Duration::from_millis(10), guarded.read(&mut one));
-        assert!(read.await.is_err(), "no end, and no byte of it");
+        assert!(
+            read.await.is_err(),
+            "neither the end nor a byte is returned"
+        );
     }
     let (read, stored) = (
         guarded.observer().discarded_bytes,
--- a/src/daemon/server/head_scanner.rs
+++ b/src/daemon/server/head_scanner.rs
@@ -8,7 +8,7 @@
 /// Number of bytes stored of each line of a head: enough for the name of either header and any length.
 const MAX_LINE_PREFIX_BYTES: usize = 48;
 
-/// See the [module documentation](self).
+/// Scans the input of one connection for request heads with ambiguous framing.
 #[derive(Default)]
 pub(super) struct HeadScanner {
     /// Prefix of the current line.
--- a/src/daemon/server/request_body.rs
+++ b/src/daemon/server/request_body.rs
@@ -24,7 +24,7 @@
 /// how long a slow client can hold memory permits.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How much of a request's body was read.
+/// How much of a request's body has been read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyState {
     /// The body has not been read completely.
--- a/src/daemon/server/response.rs
+++ b/src/daemon/server/response.rs
@@ -48,7 +48,6 @@
     },
     /// The request failed; it may or may not have been executed.
     Failed {
-        /// The response's status.
         status: StatusCode,
         /// The body: one line of plain text.
         reason: &'static str,
--- a/src/daemon/server/service.rs
+++ b/src/daemon/server/service.rs
@@ -27,12 +27,12 @@
 /// The path for health checks.
 const HEALTH_PATH: &str = "/healthz";
 
-/// See the [module documentation](self).
+/// The service of one client connection.
 #[derive(Clone)]
 pub(crate) struct RequestService {
     /// State shared by all connections.
     pub context: Arc<ServerContext>,
-    /// Whether the connection is over the limit: its requests are rejected, and it closes after the first response.
+    /// Whether a connection limit is exceeded: requests are rejected, and the connection closes after its first response.
     pub sheds_load: bool,
     /// The connection on which the requests are received.
     pub connection: Arc<ClientConnection>,
@@ -72,7 +72,6 @@
         response
     }
 
-    /// Serves one request.
     #[expect(
         clippy::manual_async_fn,
         reason = "the future of an async fn would store the request twice"
--- a/src/daemon/server/submission.rs
+++ b/src/daemon/server/submission.rs
@@ -29,11 +29,10 @@
 
 /// A completely received request.
 pub(super) struct Submission {
-    /// The request for the decision policy.
+    /// The request as passed to the decision policy.
     pub request: api::Request,
     /// The head as received.
     pub head: Parts,
-    /// The body.
     pub body: ReceivedBody,
     /// Deadline for the response.
     pub deadline: Instant,
--- a/src/daemon/upstream/exchange.rs
+++ b/src/daemon/upstream/exchange.rs
@@ -33,15 +33,12 @@
 
 /// An endpoint's response.
 pub(super) struct UpstreamResponse {
-    /// The status code.
     pub status: StatusCode,
-    /// The headers.
     pub headers: HeaderMap,
-    /// The body.
     pub body: ResponseBody,
 }
 
-/// See the [module documentation](self).
+/// The exchange of one attempt.
 pub(super) struct Exchange<'a> {
     /// The context provided by the pool.
     pub context: &'a AttemptContext,
--- a/src/daemon/upstream/exchange/tests.rs
+++ b/src/daemon/upstream/exchange/tests.rs
@@ -82,7 +82,7 @@
     let exchange = exchange.run(ConnectionLease::Permit(permit), oneshot::channel().0);
     tokio::time::timeout(Duration::from_secs(20), exchange)
         .await
-        .expect("an end")
+        .expect("the exchange ends in time")
         .err()
 }
 
--- a/src/daemon/upstream/pacing.rs
+++ b/src/daemon/upstream/pacing.rs
@@ -17,7 +17,7 @@
 use crate::clock::Clock;
 use crate::resources::limits::MAX_BODY_BYTES;
 
-/// See the [module documentation](self).
+/// Enforces a minimum data rate and a maximum pause for the responses of endpoints.
 pub(super) struct ResponsePacing {
     /// Provides the current settings and counts events.
     pub monitor: Arc<TransferMonitor>,
--- a/src/daemon/upstream/pool.rs
+++ b/src/daemon/upstream/pool.rs
@@ -32,7 +32,7 @@
     pub prefetch_bytes: usize,
 }
 
-/// See the [module documentation](self).
+/// The endpoints with their idle connections, and the limits on new ones.
 pub(crate) struct ConnectionPool {
     endpoints: HashMap<EndpointId, Arc<UpstreamEndpoint>>,
     /// Bounds the number of connections: one permit each, released when the connection is dropped.
@@ -112,7 +112,6 @@
         }
     }
 
-    /// Number of idle connections.
     pub(crate) fn idle_connections(&self) -> usize {
         self.endpoints
             .values()
--- a/src/daemon/upstream/pool/tests.rs
+++ b/src/daemon/upstream/pool/tests.rs
@@ -67,7 +67,7 @@
         .await
         .unwrap();
     let Some(Message::AttemptEnded(ended)) = inbox.recv().await else {
-        panic!("the attempt has to report how it ended")
+        panic!("the attempt did not report its end")
     };
     let body = match ended.response.expect("served").body {
         ResponseBody::Buffered(body) => body,
@@ -92,7 +92,7 @@
     assert!(pool.start(attempt(1)).is_err());
     drop(cancel);
     let Some(Message::AttemptEnded(ended)) = inbox.recv().await else {
-        panic!("the attempt has to report how it ended")
+        panic!("the attempt did not report its end")
     };
     assert_eq!((ended.attempt, ended.outcome), (0, Outcome::Cancelled));
     assert!(pool.start(attempt(1)).is_ok());
