--- a/src/daemon/send_rule.rs
+++ b/src/daemon/send_rule.rs
@@ -1,6 +1,6 @@
-//! Decides whether a request may be sent to an endpoint. The rule is checked when the engine starts an attempt, and
-//! again right before the attempt's first byte, since the situation may have changed while the connection was
-//! established.
+//! The single place that decides whether a request may be sent to an endpoint. The rule is checked when the engine
+//! starts an attempt, and again right before the attempt's first byte, since the situation may have changed while the
+//! connection was established.
 //!
 //! The checks are pure functions; the caller counts refusals. A refusal at the start of an attempt indicates a fault in
 //! the decision policy, and prevents a request from being executed twice or after its deadline.
--- a/src/daemon/server/admission.rs
+++ b/src/daemon/server/admission.rs
@@ -174,7 +174,7 @@
         // permits are used for connections that are only rejected: a connection that is not accepted would hang.
         let evicted = open > max * 3 / 4 && self.evict_one(FIRST_REQUEST_GRACE);
         let is_over_limit = open > max;
-        // A connection whose network has no slot left is only rejected.
+        // A connection whose network has no slot left takes one of the permits for connections that are only rejected.
         let has_network_slot = entry.is_none_or(|entry| entry.registration.has_slot());
         let sheds_load = is_over_limit && !evicted || !has_network_slot;
         if sheds_load && has_network_slot && self.shedding.begins() {
--- a/src/daemon/server/context.rs
+++ b/src/daemon/server/context.rs
@@ -1,4 +1,4 @@
-//! State shared by all client connections.
+//! State shared by all client connections. Nothing in it belongs to a single connection.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/src/daemon/server/response_accounting.rs
+++ b/src/daemon/server/response_accounting.rs
@@ -1,4 +1,6 @@
 //! Accounts for the memory of responses that wait for their clients to read them, if slow-peer protection is enabled.
+//!
+//! A request gets exactly one response, whether or not there is memory for it.
 
 use hyper::StatusCode;
 
--- a/src/daemon/server/service.rs
+++ b/src/daemon/server/service.rs
@@ -32,7 +32,8 @@
 pub(crate) struct RequestService {
     /// State shared by all connections.
     pub context: Arc<ServerContext>,
-    /// Whether a connection limit is exceeded: requests are rejected, and the connection closes after its first response.
+    /// Whether a connection limit is exceeded: requests are rejected, and the connection closes after its first
+    /// response.
     pub sheds_load: bool,
     /// The connection on which the requests are received.
     pub connection: Arc<ClientConnection>,
--- a/src/daemon/server/unanswered_input.rs
+++ b/src/daemon/server/unanswered_input.rs
@@ -1,7 +1,8 @@
 //! Rejects requests that have arrived at least in part on a connection that is being closed.
 //!
 //! A connection may be closed without a response only if no byte of a request has arrived on it, including bytes in the
-//! kernel's buffer that the reactor has not noticed yet. Otherwise the request gets a rejection as its final response.
+//! kernel's buffer that the reactor has not noticed yet. Otherwise the request gets a rejection as its final response,
+//! and the connection lingers so that its client has time to read it.
 
 use std::io;
 use std::mem::MaybeUninit;
