--- a/src/daemon/server/client_socket/tests.rs
+++ b/src/daemon/server/client_socket/tests.rs
@@ -4,7 +4,7 @@
 
 use super::ClientSocket;
 
-/// A client's end, and the daemon's.
+/// The client's end and the daemon's end of a connection.
 async fn connection() -> (std::net::TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
@@ -17,14 +17,14 @@
 async fn end_of_a_client_is_known_before_the_reactor_runs() {
     let (client, stream) = connection().await;
     let socket = ClientSocket::default();
-    assert!(!socket.has_ended(), "no stream yet");
+    assert!(!socket.is_closed(), "no stream yet");
     socket.attach(&stream);
-    assert!(!socket.has_ended(), "open");
+    assert!(!socket.is_closed(), "open");
     drop(client);
-    assert!(socket.has_ended(), "closed");
+    assert!(socket.is_closed(), "closed");
     socket.detach();
     drop(stream);
-    assert!(!socket.has_ended(), "no stream any more");
+    assert!(!socket.is_closed(), "no stream any longer");
 }
 
 #[tokio::test]
@@ -32,6 +32,6 @@
     let (mut client, stream) = connection().await;
     let socket = ClientSocket::default();
     socket.attach(&stream);
-    client.write_all(b"GET").expect("open");
-    assert!(!socket.has_ended());
+    client.write_all(b"GET").expect("request sent");
+    assert!(!socket.is_closed());
 }
