--- a/crates/slow-peer/src/bulkheads.rs
+++ b/crates/slow-peer/src/bulkheads.rs
@@ -1,8 +1,8 @@
-//! Bulkheads: one customer, or one network, uses at most a fraction of the slots.
+//! Bulkheads: a customer or a network may use at most a configured fraction of the slots.
 //!
-//! A client whose connection was aborted for being slow usually reconnects at once and would use its slots again until it
-//! is found slow again. So each abort takes one slot from the client's network, for a while and down to one: others in the
-//! same network still get in.
+//! A client whose connection was aborted as slow usually reconnects at once and would occupy a slot until it is detected as
+//! slow again. Each abort therefore reduces the limit of the client's network by one slot for a configured time. One slot
+//! always remains, so that other clients in the network can still connect.
 
 #[cfg(test)]
 mod tests;
@@ -26,7 +26,7 @@
 }
 
 impl NetworkClassifier {
-    /// By the operator's prefixes and exemptions.
+    /// Creates a classifier with the configured prefix lengths and exempt networks.
     pub fn new(settings: &BulkheadSettings) -> Self {
         NetworkClassifier {
             ipv4_prefix: settings.ipv4_prefix,
@@ -36,8 +36,8 @@
         }
     }
 
-    /// The network of an address; none if it is not limited. An IPv4-mapped IPv6 address is that IPv4 address: it must not
-    /// count as another network.
+    /// Returns the network of an address, or `None` if the address is exempt or bulkheads are off. An IPv4-mapped IPv6
+    /// address is classified as its IPv4 address, so that a client has the same network over both.
     pub fn network_of(&self, address: IpAddr) -> Option<IpNet> {
         let address = address.to_canonical();
         if !self.enabled || self.exempt.contains(address) {
@@ -52,27 +52,27 @@
     }
 }
 
-/// A slot that a network may not use until a time.
+/// A slot that is withheld from a network until a time.
 #[derive(Debug)]
 struct Penalty {
     until_ns: u64,
     network: IpNet,
 }
 
-/// Slots in use, each by a customer or a network.
+/// Slots in use, with limits per customer and per network.
 #[derive(Debug)]
 pub struct Bulkheads {
     slots: ResourceAccount,
     per_network: u64,
     penalty_ns: u64,
-    /// Oldest first.
+    /// Penalties in force, oldest first.
     penalties: VecDeque<Penalty>,
-    /// How many penalties each network has.
+    /// Number of penalties in force for each network.
     penalty_counts: HashMap<IpNet, u64>,
 }
 
 impl Bulkheads {
-    /// Limits within so many slots; at least one slot for each owner.
+    /// Creates bulkheads that divide this many slots. The limit of an owner is at least one slot.
     pub fn new(settings: &BulkheadSettings, slots: usize) -> Self {
         let limit = |fraction: f64| {
             if settings.enabled.0 {
@@ -95,13 +95,13 @@
         }
     }
 
-    /// Takes a slot from the owner's network for a while: one of its connections was aborted for being slow.
+    /// Withholds a slot from the owner's network for the penalty time, since one of its connections was aborted as slow.
     pub fn penalize(&mut self, now_ns: u64, owner: ResourceOwner) {
         let Some(network) = owner.peer_network else {
             return;
         };
         self.expire_penalties(now_ns);
-        // More penalties would take no further slot, so the list is bounded.
+        // One slot always remains, so further penalties would have no effect. This also bounds the list.
         let count = self.penalty_counts.entry(network).or_default();
         if *count < self.per_network.saturating_sub(1) {
             *count += 1;
@@ -113,8 +113,8 @@
     }
 
     fn expire_penalties(&mut self, now_ns: u64) {
-        let is_over = |penalty: &Penalty| penalty.until_ns <= now_ns;
-        while self.penalties.front().is_some_and(is_over) {
+        let has_expired = |penalty: &Penalty| penalty.until_ns <= now_ns;
+        while self.penalties.front().is_some_and(has_expired) {
             let Some(Penalty { network, .. }) = self.penalties.pop_front() else {
                 return;
             };
@@ -127,11 +127,11 @@
         }
     }
 
-    /// Acquires a slot.
+    /// Acquires a slot for an owner.
     ///
     /// # Errors
     ///
-    /// The limit that is reached.
+    /// Returns the limit that is reached.
     pub fn acquire(&mut self, now_ns: u64, owner: ResourceOwner) -> Result<(), LimitExceeded> {
         self.expire_penalties(now_ns);
         let is_exhausted = owner.peer_network.is_some_and(|network| {
@@ -146,12 +146,12 @@
         self.slots.acquire(owner, 1)
     }
 
-    /// Releases a slot.
+    /// Releases a slot of an owner.
     pub fn release(&mut self, owner: ResourceOwner) {
         self.slots.release(owner, 1);
     }
 
-    /// True if no slot is in use.
+    /// Returns true if no slot is in use.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
--- a/crates/slow-peer/src/clock.rs
+++ b/crates/slow-peer/src/clock.rs
@@ -1,23 +1,24 @@
-//! A clock that stops while the program does.
+//! A clock that stops while the process is stalled.
 
 #[cfg(test)]
 mod tests;
 
-/// The time in which peers could make progress.
+/// Time without the stalls of the process itself, so that peers are not held responsible for these.
 ///
-/// The owner ticks the clock at times announced in advance. If a tick is later than its slack, the program was not running
-/// and bytes lay unread in the kernel; that time does not count. Between ticks the clock runs no further than to the next tick
-/// and its slack, so a stall does not count from the first event after it on, and not only from the next tick.
+/// The owner announces the time of each tick in advance. If a tick is late by more than the slack, the process was not
+/// running, and bytes from peers were left unread in the kernel; the clock does not count that time. Between ticks the clock
+/// does not advance beyond the next tick plus the slack, so a stall is already excluded for events that are handled before
+/// the late tick.
 #[derive(Clone, Debug)]
 pub struct StallCompensatedClock {
-    /// The sum of all stalls.
+    /// Total duration of all stalls.
     stalled_ns: u64,
     next_tick_ns: u64,
     slack_ns: u64,
 }
 
 impl StallCompensatedClock {
-    /// A clock whose first tick is due at `next_tick_ns`; ticks may be late by `slack_ns`.
+    /// Creates a clock whose first tick is due at `next_tick_ns`. Ticks may be late by up to `slack_ns`.
     pub fn new(next_tick_ns: u64, slack_ns: u64) -> Self {
         StallCompensatedClock {
             stalled_ns: 0,
@@ -26,14 +27,15 @@
         }
     }
 
-    /// The compensated time at `now_ns`; it never decreases as long as `now_ns` does not.
+    /// Returns the compensated time at `now_ns`. It never decreases as long as `now_ns` does not.
     pub fn now(&self, now_ns: u64) -> u64 {
         now_ns
             .min(self.next_tick_ns.saturating_add(self.slack_ns))
             .saturating_sub(self.stalled_ns)
     }
 
-    /// Ticks at `now_ns`; the next tick is due at `next_tick_ns`. Returns the time of the stall before it, in nanoseconds.
+    /// Records a tick at `now_ns`; the next one is due at `next_tick_ns`. Returns the duration of the stall before this tick
+    /// in nanoseconds, which is 0 if the tick was on time.
     pub fn tick(&mut self, now_ns: u64, next_tick_ns: u64) -> u64 {
         let late_ns = now_ns.saturating_sub(self.next_tick_ns.saturating_add(self.slack_ns));
         self.stalled_ns += late_ns;
--- a/crates/slow-peer/src/incoming.rs
+++ b/crates/slow-peer/src/incoming.rs
@@ -1,10 +1,14 @@
-//! A transfer on its way in: an upstream response, or a request body.
+//! Incoming transfers: upstream responses and request bodies.
 //!
-//! It is given up in two cases. It *stalls*: nothing arrived for the pause that is allowed inside a transfer. It is *too
-//! slow*: at its recent rate, even multiplied by the configured slack, the rest would not arrive in the time left. The rate
-//! is taken over the last few arrivals, however long these took, so a transfer that pauses and continues in bursts is judged
-//! by its bursts, and one that pauses after its first arrivals is not judged by its rate at all. Where the length is not known
-//! (chunked), the rate is not judged: only a stall ends it early.
+//! A transfer is to be aborted in two cases:
+//!
+//! - It is *stalled*: no bytes arrived for the maximum pause.
+//! - It is *too slow*: at its recent rate, even multiplied by the configured slack, the remaining bytes would not arrive
+//!   before the deadline.
+//!
+//! The rate is measured over the last few arrivals, however long these took: the bursts of a transfer that arrives in
+//! bursts with pauses between them count in full, and a transfer that pauses after its first arrivals has no rate yet. If
+//! the length is not known (chunked encoding), only a stall aborts the transfer.
 
 #[cfg(test)]
 mod tests;
@@ -12,59 +16,60 @@
 use crate::clock::StallCompensatedClock;
 use crate::settings::Settings;
 
-/// Arrivals over which the rate is taken: fewer may be one burst, and more take longer to observe.
+/// Arrivals over which the rate is measured: fewer may be a single burst, and more take longer to observe.
 const ARRIVALS: usize = 4;
-/// Arrivals that are stored: those of the rate, and the one before them, at which its time begins.
+/// Arrivals that are stored: those over which the rate is measured, and the one before them, where the measurement starts.
 const STORED_ARRIVALS: usize = ARRIVALS + 1;
-/// Gap, in nanoseconds, below which bytes belong to the same arrival: one burst is read in many pieces.
+/// Gap, in nanoseconds, below which bytes belong to the same arrival: a burst may take several reads.
 const MIN_ARRIVAL_GAP_NS: u64 = 10_000_000;
-/// Delay of an evaluation, in nanoseconds, beyond which the program counts as stopped.
+/// Delay of an evaluation, in nanoseconds, beyond which the process counts as stalled.
 const EVALUATION_SLACK_NS: u64 = 30_000_000;
-/// Time, in nanoseconds, in which bytes that arrived in the kernel during a stall of the program are read, before the
-/// transfer is judged.
+/// Time, in nanoseconds, before a transfer is evaluated again after a stall of the process: bytes that the kernel received
+/// during the stall are read first.
 const REEVALUATION_DELAY_NS: u64 = 50_000_000;
 
-/// The state of an incoming transfer.
+/// Status of an incoming transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IncomingStatus {
-    /// It may go on; evaluate again at this time (in nanoseconds) unless something arrives before.
+    /// The transfer may continue. It has to be evaluated again at this time (in nanoseconds), or when bytes arrive.
     CheckAgainAt(u64),
-    /// Nothing arrived for longer than the pause that is allowed.
+    /// No bytes arrived for the maximum pause.
     Stalled,
-    /// It cannot be complete in the time left.
+    /// The transfer cannot complete before its deadline.
     TooSlow,
 }
 
 /// Bytes that arrived close together.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
-    /// When the first of them arrived, by the compensated clock.
+    /// Compensated time at which the first of them arrived.
     at_ns: u64,
-    /// Bytes of the transfer once the last of them had arrived; arrivals close together are merged.
+    /// Bytes of the transfer up to and including this arrival.
     bytes_so_far: u64,
 }
 
-/// One transfer. All times are nanoseconds of one monotonic clock.
+/// An incoming transfer. All times are nanoseconds of one monotonic clock.
 #[derive(Clone, Debug)]
 pub struct IncomingTransfer {
     total_bytes: Option<u64>,
     deadline_ns: u64,
     bytes_so_far: u64,
-    /// The last arrivals; a ring, indexed by `arrival_count`.
+    /// Ring buffer of the last arrivals; the newest is at `arrival_count` modulo its length.
     arrivals: [Arrival; STORED_ARRIVALS],
     arrival_count: usize,
     started_ns: u64,
     max_pause_ns: u64,
-    /// Age below which the transfer is not judged by its rate.
-    min_judged_age_ns: u64,
+    /// Age from which the rate is checked.
+    min_age_for_rate_ns: u64,
     rate_slack: f64,
     clock: StallCompensatedClock,
-    /// How far the compensated clock is behind the real one.
+    /// How far the compensated clock is behind the monotonic clock.
     stalled_ns: u64,
 }
 
 impl IncomingTransfer {
-    /// A transfer that begins now and has to be complete by `deadline_ns`; its length in bytes, where it is known.
+    /// Creates a transfer that begins at `now_ns` and has to be complete by `deadline_ns`. `total_bytes` is its length, if
+    /// that is known.
     pub fn new(
         settings: &Settings,
         now_ns: u64,
@@ -85,7 +90,7 @@
             arrival_count: 0,
             started_ns: now_ns,
             max_pause_ns,
-            min_judged_age_ns: settings.forecast_after.as_nanos(),
+            min_age_for_rate_ns: settings.forecast_after.as_nanos(),
             rate_slack: settings.forecast_slack,
             clock: StallCompensatedClock::new(first_evaluation_ns, EVALUATION_SLACK_NS),
             stalled_ns: 0,
@@ -100,7 +105,7 @@
         let at_ns = self.clock.now(now_ns);
         self.bytes_so_far = self.bytes_so_far.saturating_add(bytes);
         let last = &mut self.arrivals[self.arrival_count % STORED_ARRIVALS];
-        // The beginning, with no bytes, is no arrival that later bytes could belong to.
+        // Entry 0 marks the start of the transfer; the first bytes are not merged into it.
         if self.arrival_count > 0 && at_ns.saturating_sub(last.at_ns) < MIN_ARRIVAL_GAP_NS {
             last.bytes_so_far = self.bytes_so_far;
             return;
@@ -112,12 +117,12 @@
         };
     }
 
-    /// Evaluates the transfer. If that happens long after the time that was agreed on, the program stood still, and the
-    /// transfer is not judged by that time.
+    /// Evaluates the transfer. If this is called much later than the last returned time, the process was stalled, and the
+    /// time of the stall does not count against the transfer.
     pub fn evaluate(&mut self, now_ns: u64) -> IncomingStatus {
         let compensated_now_ns = self.clock.now(now_ns);
         let left_ns = self.deadline_ns.saturating_sub(now_ns);
-        let status = self.judge(compensated_now_ns, left_ns);
+        let status = self.status(compensated_now_ns, left_ns);
         let next_ns = match status {
             IncomingStatus::CheckAgainAt(next_ns) => {
                 next_ns.saturating_add(self.stalled_ns).max(now_ns + 1)
@@ -133,7 +138,8 @@
         }
     }
 
-    fn judge(&self, now_ns: u64, left_ns: u64) -> IncomingStatus {
+    /// The status at a compensated time, with `left_ns` left until the deadline.
+    fn status(&self, now_ns: u64, left_ns: u64) -> IncomingStatus {
         let last_ns = self.arrivals[self.arrival_count % STORED_ARRIVALS].at_ns;
         let is_complete = self
             .total_bytes
@@ -147,14 +153,14 @@
         IncomingStatus::CheckAgainAt(last_ns.saturating_add(self.max_pause_ns))
     }
 
-    /// True if the bytes that remain, `r`, would not arrive in the time left, `t`, at the rate of the last arrivals times
-    /// the slack: `r > rate * t * slack`.
+    /// True if the remaining bytes would not arrive in the time left at the rate of the last arrivals times the slack:
+    /// `remaining_bytes > rate * left_ns * slack`.
     fn is_too_slow(&self, now_ns: u64, left_ns: u64) -> bool {
         let Some(total) = self.total_bytes else {
             return false;
         };
         let age_ns = now_ns.saturating_sub(self.started_ns);
-        if self.arrival_count < ARRIVALS || age_ns < self.min_judged_age_ns {
+        if self.arrival_count < ARRIVALS || age_ns < self.min_age_for_rate_ns {
             return false;
         }
         let oldest = self.arrivals[(self.arrival_count + 1) % STORED_ARRIVALS];
@@ -163,7 +169,7 @@
         (total - self.bytes_so_far) as f64 > bytes_per_ns * left_ns as f64 * self.rate_slack
     }
 
-    /// Bytes that arrived so far.
+    /// Bytes received so far.
     pub fn bytes_so_far(&self) -> u64 {
         self.bytes_so_far
     }
--- a/crates/slow-peer/src/lib.rs
+++ b/crates/slow-peer/src/lib.rs
@@ -1,17 +1,17 @@
-//! Slow-peer protection: how many bytes may wait for slow peers, and when a slow transfer is aborted.
+//! Slow-peer protection: limits on the unsent bytes of slow peers, and aborts of slow transfers.
 //!
-//! The core does no I/O and reads no clock: byte counts and the time come in, decisions go out. Times are nanoseconds of
-//! one monotonic clock, passed through a [`StallCompensatedClock`] so that no peer is judged by time in which the
-//! program itself did not run.
+//! The core does no I/O and reads no clock: it is given byte counts and the time, and returns decisions. Times are
+//! nanoseconds of one monotonic clock, corrected by a [`StallCompensatedClock`] so that stalls of the process itself do not
+//! count against a peer.
 //!
-//! - [`OutgoingTransfers`]: responses on their way to clients, and the account of bytes that wait for them;
-//! - [`IncomingTransfer`]: one upstream response, or one request body, on its way in;
-//! - [`Bulkheads`]: slots used by one customer or one network;
-//! - [`SlowPeerStatistics`]: counts of events, and the owners on whose account they were.
+//! - [`OutgoingTransfers`]: responses that are being sent to clients, and the account of their unsent bytes;
+//! - [`IncomingTransfer`]: an upstream response or a request body that is being received;
+//! - [`Bulkheads`]: limits on the slots that one customer or one network may use;
+//! - [`SlowPeerStatistics`]: event counts, in total and by resource owner.
 //!
-//! Each of these is a state machine of its own with typed events as methods, since their results differ: a limit that would
-//! be exceeded, a status, or the connections to abort. Times stay integers, since their sums
-//! and differences are exact; the unit is in each name. [`socket`] connects them to sockets; no other module uses any.
+//! Each of these is a state machine whose events are methods, since their results differ: a limit that would be exceeded, a
+//! status, or the connections to abort. Times are integers, for which sums and differences are exact; each name ends in the
+//! unit. The [`socket`] module applies them to sockets; no other module uses sockets.
 
 mod bulkheads;
 mod clock;
--- a/crates/slow-peer/src/outgoing.rs
+++ b/crates/slow-peer/src/outgoing.rs
@@ -1,13 +1,13 @@
-//! Responses on their way to clients.
+//! Outgoing transfers: responses that are being sent to clients.
 //!
-//! Which connections may be aborted follows from the rules on sockets:
+//! An abort must not lose a request. Whether a connection may be aborted therefore depends on its state:
 //!
-//! - one whose accepted request has no response yet: never, the request would be lost;
-//! - one on which a response was begun, completely written or not: yes. The response has failed and is not lost, since its
-//!   length was sent before it and the client can detect that it is incomplete;
-//! - one of whose response no byte is written yet: never, for the same reason as the first;
-//! - one on which a newer request was read while a response still waits (a pipelining client): never, until that request
-//!   has its response. From then on both are one transfer, begun with the first: the second can't be written because the
+//! - A request was accepted and has no response yet: never, since the request would be lost.
+//! - No byte of the response is written yet: never, for the same reason.
+//! - Some or all bytes of the response are written: yes. The response fails, but is not lost: its length was sent first, so
+//!   the client can detect that it is incomplete.
+//! - A pipelining client sent another request while a response is still unsent: not until that request has its response.
+//!   From then on both responses are one transfer, which began with the first. The second one cannot be written because the
 //!   client does not read the first, and a client that stops reading must not retain its slot by pipelining.
 
 mod abort;
@@ -27,7 +27,7 @@
 pub use abort::{Abort, AbortReason, ResourceNeed};
 pub use transfer::TransferProgress;
 
-/// Identifies a connection while it is open.
+/// Identifies an open connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
@@ -36,28 +36,28 @@
 pub struct ResponseStart {
     /// The connection.
     pub id: ConnectionId,
-    /// On whose account its bytes are.
+    /// The owner that its bytes are accounted to.
     pub owner: ResourceOwner,
-    /// Its length.
+    /// Length of the response.
     pub bytes: u64,
-    /// The progress of the connection so far.
+    /// Progress of the connection before the response.
     pub progress: TransferProgress,
 }
 
-/// All responses on their way out, and the account of their bytes. Times are nanoseconds of the compensated clock.
+/// All outgoing responses, and the account of their unsent bytes. Times are nanoseconds of the compensated clock.
 pub struct OutgoingTransfers {
     transfers: BTreeMap<ConnectionId, OutgoingTransfer>,
     unsent_bytes: ResourceAccount,
     minimum_rate: MinimumDataRate,
     rate_windows: RateWindows,
-    /// Age below which no transfer is judged by its rate, in nanoseconds.
+    /// Age from which transfers have to reach the minimum data rate, in nanoseconds.
     grace_period_ns: u64,
 }
 
 impl OutgoingTransfers {
-    /// None yet, in a program that has so many bytes of memory.
+    /// Creates an empty set of transfers for a process with this much memory.
     pub fn new(settings: &Settings, bulkheads: &BulkheadSettings, memory_bytes: u64) -> Self {
-        let total = settings.waiting(memory_bytes);
+        let total = settings.max_unsent_bytes(memory_bytes);
         let limit = |fraction: f64| {
             if bulkheads.enabled.0 {
                 (total as f64 * fraction) as u64
@@ -86,12 +86,12 @@
         }
     }
 
-    /// A response begins.
+    /// Begins a response and acquires its bytes.
     ///
     /// # Errors
     ///
-    /// The limit that the response would exceed. Nothing is acquired then: free resources and try again, or send a short
-    /// response in its place.
+    /// Returns the limit that the response would exceed. Nothing is acquired then; the caller has to free resources and try
+    /// again, or send a short response instead.
     pub fn begin_response(
         &mut self,
         now_ns: u64,
@@ -100,8 +100,8 @@
         let ResponseStart {
             id, owner, bytes, ..
         } = response;
-        // Its request has no response until this one has begun, so its connection must not be aborted to free resources
-        // for this response.
+        // The request is pending until its response has begun: if the caller frees resources for this response, it must not
+        // abort the connection of the same request.
         self.request_started(id);
         self.unsent_bytes.acquire(owner, bytes)?;
         let Some(transfer) = self.transfers.get_mut(&id) else {
@@ -109,8 +109,8 @@
             self.transfers.insert(id, transfer);
             return Ok(());
         };
-        // An earlier response still waits: both are one transfer, which began with the first. Its bytes move to the account
-        // of the second one's owner, as far as that owner's limits allow.
+        // An earlier response is still unsent: both are one transfer, which began with the first. Its unsent bytes move to
+        // the account of the second response's owner, unless that would exceed a limit; then they are no longer accounted.
         self.unsent_bytes
             .release(transfer.owner, transfer.unsent_bytes);
         let moved = self.unsent_bytes.acquire(owner, transfer.unsent_bytes);
@@ -121,21 +121,22 @@
         Ok(())
     }
 
-    /// A request was read on a connection: it may not be aborted until that request has its response.
+    /// Records that a request was read on a connection. The connection may not be aborted until the request has its
+    /// response.
     pub fn request_started(&mut self, id: ConnectionId) {
         self.transfers
             .entry(id)
             .and_modify(|transfer| transfer.request_pending = true);
     }
 
-    /// That request has its response, which is too short to be monitored.
+    /// Records that the pending request has its response, which is too short to be monitored.
     pub fn response_needs_no_monitoring(&mut self, id: ConnectionId) {
         self.transfers
             .entry(id)
             .and_modify(|transfer| transfer.request_pending = false);
     }
 
-    /// Records the progress of a connection. Once a response is completely acknowledged it is no longer monitored.
+    /// Records the progress of a connection. A transfer whose bytes are all acknowledged is removed.
     pub fn record_progress(&mut self, now_ns: u64, id: ConnectionId, progress: TransferProgress) {
         let Some(transfer) = self.transfers.get_mut(&id) else {
             return;
@@ -149,7 +150,7 @@
         }
     }
 
-    /// The connection is closed, or its response needs no monitoring any more.
+    /// Removes the transfer of a connection that was closed or needs no monitoring any more, and releases its bytes.
     pub fn connection_closed(&mut self, id: ConnectionId) {
         if let Some(transfer) = self.transfers.remove(&id) {
             self.unsent_bytes
@@ -157,22 +158,22 @@
         }
     }
 
-    /// True while a response waits on the connection.
+    /// Returns true while a response on the connection is unsent.
     pub fn is_sending(&self, id: ConnectionId) -> bool {
         self.transfers.contains_key(&id)
     }
 
-    /// The connections on which responses wait.
+    /// The connections with unsent responses.
     pub fn connection_ids(&self) -> Vec<ConnectionId> {
         self.transfers.keys().copied().collect()
     }
 
-    /// The account of bytes that wait.
+    /// The account of unsent bytes.
     pub fn unsent_bytes(&mut self) -> &mut ResourceAccount {
         &mut self.unsent_bytes
     }
 
-    /// The minimum data rate in force, in bytes per second.
+    /// The current minimum data rate, in bytes per second.
     pub fn minimum_rate(&self) -> f64 {
         self.minimum_rate.current()
     }
--- a/crates/slow-peer/src/outgoing/abort.rs
+++ b/crates/slow-peer/src/outgoing/abort.rs
@@ -1,55 +1,55 @@
-//! Which connection is aborted and why, and the resource that an abort frees.
+//! Aborts of connections, their reasons, and the resources that they free.
 
 use crate::outgoing::ConnectionId;
 use crate::resource_account::{LimitExceeded, ResourceOwner};
 
-/// Why a connection is aborted.
+/// The reason why a connection is aborted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum AbortReason {
-    /// Its response moved more slowly than the minimum data rate in force.
+    /// The rate of the response was below the minimum data rate.
     BelowMinimumRate,
-    /// Nothing of its response moved within the window.
+    /// No bytes of the response were acknowledged within the window.
     Stalled,
-    /// Resources were needed, and its unsent bytes times their age were the highest.
+    /// Resources were needed, and the product of the connection's unsent bytes and age was among the highest.
     ResourcesNeeded,
 }
 
-/// A connection to abort; it is no longer monitored.
+/// A connection that has to be aborted. It is no longer monitored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Abort {
     /// The connection.
     pub id: ConnectionId,
-    /// The owner of its bytes.
+    /// The owner that its unsent bytes were accounted to.
     pub owner: ResourceOwner,
-    /// Why.
+    /// The reason for the abort.
     pub reason: AbortReason,
-    /// Bytes of its responses that were not acknowledged.
+    /// Bytes of its responses that were not yet acknowledged.
     pub unsent_bytes: u64,
-    /// Time since its response began, in nanoseconds.
+    /// Time since the response began, in nanoseconds.
     pub age_ns: u64,
 }
 
 /// A resource that is needed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ResourceNeed {
-    /// A slot for one connection.
+    /// One connection slot.
     ConnectionSlot,
-    /// Bytes on an owner's account.
+    /// Unsent bytes on an owner's account.
     Bytes {
         /// The owner.
         owner: ResourceOwner,
         /// The limit that would be exceeded.
         limit: LimitExceeded,
-        /// How many bytes.
+        /// Number of bytes.
         bytes: u64,
     },
 }
 
 impl ResourceNeed {
-    /// True if aborting a connection of this owner helps.
+    /// Returns true if an abort of a connection of this owner frees some of the needed resource.
     pub(super) fn concerns(self, owner: ResourceOwner) -> bool {
         let ResourceNeed::Bytes {
-            owner: needed_by,
+            owner: requester,
             limit,
             ..
         } = self
@@ -58,8 +58,8 @@
         };
         match limit {
             LimitExceeded::Total => true,
-            LimitExceeded::Customer => owner.customer == needed_by.customer,
-            LimitExceeded::PeerNetwork => owner.peer_network == needed_by.peer_network,
+            LimitExceeded::Customer => owner.customer == requester.customer,
+            LimitExceeded::PeerNetwork => owner.peer_network == requester.peer_network,
         }
     }
 }
--- a/crates/slow-peer/src/outgoing/selection.rs
+++ b/crates/slow-peer/src/outgoing/selection.rs
@@ -1,4 +1,4 @@
-//! Which connections are aborted: those below the minimum data rate, and the worst ones where resources have to be freed.
+//! Selection of connections to abort: those below the minimum data rate, and the worst ones when resources have to be freed.
 
 use super::transfer::OutgoingTransfer;
 use super::{Abort, AbortReason, ConnectionId, OutgoingTransfers, ResourceNeed};
@@ -6,14 +6,15 @@
 /// A connection that may be aborted to free resources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    /// The product of unsent bytes and time, which orders the candidates.
+    /// Product of unsent bytes and age; candidates are ordered by it.
     byte_nanoseconds: u128,
     id: ConnectionId,
     unsent_bytes: u64,
 }
 
 impl OutgoingTransfers {
-    /// Aborts the connections below the minimum data rate. `used_slots` is the fraction of connection slots in use.
+    /// Aborts the connections below the minimum data rate. `used_slots` is the fraction of connection slots in use, which
+    /// raises the minimum data rate.
     pub fn abort_below_minimum_rate(&mut self, now_ns: u64, used_slots: f64) -> Vec<Abort> {
         let pressure = used_slots.max(self.unsent_bytes.used_fraction());
         self.minimum_rate.set_pressure(pressure);
@@ -37,9 +38,10 @@
             .collect()
     }
 
-    /// Frees resources by aborting the connections that hold the most bytes for the longest time, one after another, until
-    /// there is enough; never one that moves at the minimum rate of full pressure, over as long as it takes to measure that.
-    /// Aborts none if all of them together would not be enough: no connection is aborted in vain.
+    /// Frees resources by aborting the connections with the largest product of unsent bytes and age, as many as are needed.
+    ///
+    /// Only connections that are stalled, or whose rate over the short window is below the minimum data rate of full
+    /// pressure, are aborted. None is aborted if all of these together would not free enough.
     pub fn abort_for_resources(&mut self, now_ns: u64, need: ResourceNeed) -> Vec<Abort> {
         let needed = match need {
             ResourceNeed::ConnectionSlot => 1,
@@ -50,8 +52,8 @@
             } => bytes.saturating_sub(self.unsent_bytes.available(owner, limit)),
         };
         let mut freed = 0;
-        let mut chosen = Vec::new();
-        for candidate in self.worst_first(now_ns, need) {
+        let mut selected = Vec::new();
+        for candidate in self.candidates_worst_first(now_ns, need) {
             if freed >= needed {
                 break;
             }
@@ -59,24 +61,24 @@
                 ResourceNeed::ConnectionSlot => 1,
                 ResourceNeed::Bytes { .. } => candidate.unsent_bytes,
             };
-            chosen.push(candidate.id);
+            selected.push(candidate.id);
         }
         if freed < needed {
             return Vec::new();
         }
-        chosen
+        selected
             .into_iter()
             .filter_map(|id| self.abort(now_ns, id, AbortReason::ResourcesNeeded))
             .collect()
     }
 
-    /// Connections that may be aborted for a need: the largest product of bytes and time first.
-    fn worst_first(&mut self, now_ns: u64, need: ResourceNeed) -> Vec<Candidate> {
+    /// The connections that may be aborted to meet a need, those with the largest product of unsent bytes and age first.
+    fn candidates_worst_first(&mut self, now_ns: u64, need: ResourceNeed) -> Vec<Candidate> {
         let minimum = self.minimum_rate.at_full_pressure();
         let grace_period_ns = self.rate_windows.short_window_ns;
         let candidate = |(id, transfer): (&ConnectionId, &mut OutgoingTransfer)| {
             let age_ns = transfer.age_ns(now_ns);
-            let is_slow = transfer.stands_still(now_ns)
+            let is_slow = transfer.is_stalled(now_ns)
                 || age_ns >= grace_period_ns && transfer.short_rate.rate(now_ns, age_ns) < minimum;
             let is_candidate = is_slow && transfer.may_abort() && need.concerns(transfer.owner);
             is_candidate.then(|| Candidate {
@@ -90,6 +92,7 @@
         candidates
     }
 
+    /// Removes a transfer, and releases its bytes.
     fn abort(&mut self, now_ns: u64, id: ConnectionId, reason: AbortReason) -> Option<Abort> {
         let transfer = self.transfers.remove(&id)?;
         self.unsent_bytes
--- a/crates/slow-peer/src/rate_window.rs
+++ b/crates/slow-peer/src/rate_window.rs
@@ -1,15 +1,16 @@
 //! A data rate over a sliding window.
 
-/// Slots of the window; bytes age out one slot at a time.
+/// Number of slots that the window is divided into. Bytes leave the window one slot at a time.
 const SLOTS: usize = 8;
-/// Slots that are stored: those of the window, and the one that is being filled.
+/// Slots that are stored: those of the window, and the current one, which is still being filled.
 const STORED_SLOTS: u64 = SLOTS as u64 + 1;
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// Bytes moved within the last window, in constant space.
+/// The bytes that were transferred within a sliding window, in constant space.
 ///
-/// The slots that are counted span the window and up to an eighth more, and their bytes are divided by the window alone. So
-/// the rate is never computed too low, and a transfer at or above a rate is never found below it.
+/// The stored slots span the window and up to an eighth more, but their bytes are divided by the length of the window alone.
+/// The computed rate may therefore be too high but is never too low: a transfer that keeps a minimum rate is never found
+/// below it.
 #[derive(Clone, Debug)]
 pub struct RateWindow {
     slot_ns: u64,
@@ -18,7 +19,7 @@
 }
 
 impl RateWindow {
-    /// An empty window; the first bytes move no earlier than `now_ns`.
+    /// Creates an empty window that starts at `now_ns`.
     pub fn new(now_ns: u64, window_ns: u64) -> Self {
         let slot_ns = (window_ns / SLOTS as u64).max(1);
         RateWindow {
@@ -32,7 +33,7 @@
         &mut self.bytes[(slot % STORED_SLOTS) as usize]
     }
 
-    /// Empties the slots that begin between the last call and now.
+    /// Clears the slots that began since the last call.
     fn advance(&mut self, now_ns: u64) {
         let newest = now_ns / self.slot_ns;
         let passed = newest.saturating_sub(self.newest_slot).min(STORED_SLOTS);
@@ -42,17 +43,17 @@
         self.newest_slot = newest.max(self.newest_slot);
     }
 
-    /// Counts bytes that moved.
+    /// Adds bytes that were transferred at `now_ns`.
     pub fn add(&mut self, now_ns: u64, bytes: u64) {
         self.advance(now_ns);
         *self.slot_mut(self.newest_slot) += bytes;
     }
 
-    /// Bytes per second of a transfer of this age: within the window, or within the age of a transfer that is younger.
+    /// Returns the rate in bytes per second over the window, or over the age of the transfer if that is shorter.
     pub fn rate(&mut self, now_ns: u64, age_ns: u64) -> f64 {
         self.advance(now_ns);
-        let moved: u64 = self.bytes.iter().sum();
+        let bytes: u64 = self.bytes.iter().sum();
         let span_ns = age_ns.min(self.slot_ns * SLOTS as u64).max(1);
-        moved as f64 * NANOS_PER_SECOND / span_ns as f64
+        bytes as f64 * NANOS_PER_SECOND / span_ns as f64
     }
 }
--- a/crates/slow-peer/src/resource_account.rs
+++ b/crates/slow-peer/src/resource_account.rs
@@ -1,21 +1,21 @@
-//! The account of a limited resource: in use in all, per customer and per network.
+//! Usage of a limited resource: in total, per customer and per network.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
 use ipnet::IpNet;
 
-/// On whose account a resource is used.
+/// The customer and network that a resource is accounted to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ResourceOwner {
-    /// The customer; none where it is not known yet.
+    /// The customer, or `None` if it is not known yet.
     pub customer: Option<u64>,
-    /// The network that the peer's address belongs to; none where it is not limited.
+    /// The network of the peer's address, or `None` if it is not limited.
     pub peer_network: Option<IpNet>,
 }
 
 impl ResourceOwner {
-    /// A customer, whatever its network.
+    /// Accounts to a customer only.
     pub(crate) fn customer(customer: u64) -> Self {
         ResourceOwner {
             customer: Some(customer),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// A network, whatever the customer.
+    /// Accounts to a network only.
     pub(crate) fn network(peer_network: Option<IpNet>) -> Self {
         ResourceOwner {
             customer: None,
@@ -32,32 +32,32 @@
     }
 }
 
-/// The limit that would be exceeded.
+/// A limit that would be exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, thiserror::Error)]
 pub enum LimitExceeded {
-    /// The limit of all owners together.
-    #[error("the limit of all owners together would be exceeded")]
+    /// The limit for all owners together.
+    #[error("the total limit would be exceeded")]
     Total,
-    /// The customer's.
+    /// The limit for one customer.
     #[error("the customer's limit would be exceeded")]
     Customer,
-    /// The network's.
+    /// The limit for one network.
     #[error("the limit of the peer's network would be exceeded")]
     PeerNetwork,
 }
 
-/// Limits of an account.
+/// Limits on the use of a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
-    /// Of all owners together.
+    /// Limit for all owners together.
     pub total: u64,
-    /// Of one customer.
+    /// Limit for each customer.
     pub per_customer: u64,
-    /// Of one network.
+    /// Limit for each network.
     pub per_network: u64,
 }
 
-/// What is in use. Releasing more than was acquired releases what was acquired.
+/// The amount of a resource in use. Releasing more than is in use leaves nothing in use.
 #[derive(Debug)]
 pub struct ResourceAccount {
     limits: ResourceLimits,
@@ -68,7 +68,7 @@
 }
 
 impl ResourceAccount {
-    /// An empty account.
+    /// Creates an account with nothing in use.
     pub fn new(limits: ResourceLimits) -> Self {
         ResourceAccount {
             limits,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// What an owner uses under one limit.
+    /// The amount in use that counts against an owner's limit, or `None` if the limit does not apply to the owner.
     fn used(&self, owner: ResourceOwner, limit: LimitExceeded) -> Option<u64> {
         match limit {
             LimitExceeded::Total => Some(self.total),
@@ -100,11 +100,11 @@
         }
     }
 
-    /// Acquires all of the amount, or nothing.
+    /// Acquires the whole amount, or nothing.
     ///
     /// # Errors
     ///
-    /// The limit that would be exceeded; the narrowest first, since its owner exceeds it alone.
+    /// Returns the limit that would be exceeded; if there are several, the narrowest one, which only this owner exceeds.
     pub fn acquire(&mut self, owner: ResourceOwner, amount: u64) -> Result<(), LimitExceeded> {
         for limit in [
             LimitExceeded::Customer,
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// Releases an amount. An owner that uses nothing any more is removed.
+    /// Releases an amount. Customers and networks with nothing in use are removed.
     pub fn release(&mut self, owner: ResourceOwner, amount: u64) {
         self.total = self.total.saturating_sub(amount);
         if let Some(customer) = owner.customer {
@@ -140,33 +140,33 @@
         }
     }
 
-    /// How much an owner can still acquire under one limit.
+    /// The amount that an owner can still acquire under a limit.
     pub fn available(&self, owner: ResourceOwner, limit: LimitExceeded) -> u64 {
         let used = self.used(owner, limit).unwrap_or(0);
         self.limit(limit).saturating_sub(used)
     }
 
-    /// What a network uses.
+    /// The amount in use by a network.
     pub fn used_by_network(&self, network: IpNet) -> u64 {
         self.by_network.get(&network).copied().unwrap_or(0)
     }
 
-    /// What all owners use.
+    /// The amount in use by all owners.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// The highest amount that was in use since the last call.
+    /// Returns the highest total amount in use since the last call.
     pub fn take_peak(&mut self) -> u64 {
         std::mem::replace(&mut self.peak, self.total)
     }
 
-    /// Fraction of the total limit that is in use.
+    /// The fraction of the total limit that is in use.
     pub fn used_fraction(&self) -> f64 {
         self.total as f64 / self.limits.total.max(1) as f64
     }
 
-    /// True if nothing is in use, on any account.
+    /// Returns true if nothing is in use by any owner.
     pub fn is_empty(&self) -> bool {
         self.total == 0 && self.by_customer.is_empty() && self.by_network.is_empty()
     }
--- a/crates/slow-peer/src/settings.rs
+++ b/crates/slow-peer/src/settings.rs
@@ -1,74 +1,73 @@
-//! What operators may set: sections `[pace]` and `[bulkheads]` of their file.
+//! Settings of slow-peer protection: sections `[pace]` and `[bulkheads]` of the operator's file.
 
 use applewall_operator_config::{number, DurationSetting, EnabledFlag, Networks, Size};
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-/// `[pace]`: least rates and limits on what may wait. Rates are bytes a second.
+/// `[pace]`: minimum data rates and limits on unsent bytes. Rates are in bytes per second.
 #[derive(Clone, Debug, Deserialize, Validate, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Settings {
-    /// Off: nothing of this section holds.
+    /// Enables slow-peer protection. If off, the other keys of this section have no effect.
     pub enabled: EnabledFlag,
-    /// How often transfers that go on are looked at.
-    #[garde(dive, custom(between(10, 1_000)))]
+    /// Interval between checks of the outgoing responses.
+    #[garde(dive, custom(duration_between(10, 1_000)))]
     pub tick: DurationSetting,
-    /// The rate of a transfer is what it moved within this.
-    #[garde(dive, custom(between(100, 60_000)))]
+    /// Sliding window over which the rate of an outgoing response is measured.
+    #[garde(dive, custom(duration_between(100, 60_000)))]
     pub window: DurationSetting,
-    /// No transfer to a service client is judged before it is this old.
+    /// Age from which an outgoing response has to reach the minimum data rate.
     #[garde(dive)]
     pub grace: DurationSetting,
-    /// The same where room has to be made: somebody has to go, and the worst goes first. The rate is then taken over
-    /// this time too, so it should be longer than the round trip to distant clients.
+    /// The same while resources have to be freed: then the worst of the slow connections are aborted first. The rate is
+    /// measured over this time too, so it should be longer than the round trip to distant clients.
     #[garde(dive)]
     pub room_grace: DurationSetting,
-    /// Least rate of an answer going out, while nothing is short.
+    /// Minimum data rate of an outgoing response while no resource is scarce.
     pub out_least: Size,
-    /// The same where all places or all waiting bytes are taken; it rises in between.
+    /// Minimum data rate while all connection slots or all unsent bytes are in use. It rises linearly up to this.
     pub out_least_full: Size,
-    /// Share of places or of waiting bytes from which the least rate rises.
+    /// Fraction of connection slots or of unsent bytes in use from which the minimum data rate rises.
     #[garde(range(min = 0.0, max = 0.99))]
     #[serde(deserialize_with = "number")]
     pub pressure_from: f64,
-    /// Bytes of answers that all service clients together may leave waiting; where it is not set, a fifth of the
-    /// memory.
+    /// Maximum unsent response bytes of all clients together. If not set, a fifth of the memory.
     #[garde(inner(custom(size_between(64 << 10, 1 << 40))))]
     pub waiting: Option<Size>,
-    /// What the kernel may hold of one connection's answers; it takes up to twice that for its own accounts.
+    /// Size of the kernel's send buffer of a client connection. The kernel allocates twice as much, for its own bookkeeping.
     #[garde(custom(size_between(4 << 10, 16 << 20)))]
     pub send_buffer: Size,
-    /// Unsent bytes in the kernel below which more are written.
+    /// Unsent bytes in the kernel below which more bytes are written to a connection (`TCP_NOTSENT_LOWAT`).
     #[garde(custom(size_between(1 << 10, 16 << 20)))]
     pub not_sent: Size,
-    /// A body of a command has to be whole this long after its head.
-    #[garde(dive, custom(between(100, 60_000)))]
+    /// Time after its head within which a request body has to be complete.
+    #[garde(dive, custom(duration_between(100, 60_000)))]
     pub upload_time: DurationSetting,
-    /// A silence inside an answer of an instance, or inside a body, from which it counts as stalled.
-    #[garde(dive, custom(between(20, 60_000)))]
+    /// Time without new bytes after which an upstream response or a request body counts as stalled.
+    #[garde(dive, custom(duration_between(20, 60_000)))]
     pub pause: DurationSetting,
-    /// An incoming transfer is not judged by its rate before it has been seen for this long.
+    /// Age from which an incoming transfer may be aborted for its rate.
     #[garde(dive)]
     pub forecast_after: DurationSetting,
-    /// An incoming transfer is given up only where so many times its rate would not do.
+    /// An incoming transfer is aborted only if its rate times this factor would not complete it in time.
     #[garde(range(min = 1.0, max = 100.0))]
     #[serde(deserialize_with = "number")]
     pub forecast_slack: f64,
-    /// An attempt is given up only while its command has this much time left: another has to fit.
+    /// An attempt whose response is slow is aborted only while its request has at least this much time left for a retry.
     #[garde(dive)]
     pub retry_room: DurationSetting,
 }
 
-/// Divides the memory into the bytes that may wait, where the operator sets no limit: a fifth.
-const WAITING_MEMORY_DIVISOR: u64 = 5;
+/// Without a configured limit, unsent bytes may use the memory divided by this.
+const UNSENT_MEMORY_DIVISOR: u64 = 5;
 
 impl Settings {
-    /// Bytes that may wait, of so many bytes of memory.
-    pub fn waiting(&self, memory: u64) -> u64 {
+    /// Limit on unsent response bytes in a process with this much memory.
+    pub fn max_unsent_bytes(&self, memory_bytes: u64) -> u64 {
         self.waiting
-            .map_or(memory / WAITING_MEMORY_DIVISOR, |size| size.0)
+            .map_or(memory_bytes / UNSENT_MEMORY_DIVISOR, |size| size.0)
     }
 }
 
@@ -95,41 +94,41 @@
     }
 }
 
-/// `[bulkheads]`: what one customer or one set of addresses may hold at most.
+/// `[bulkheads]`: limits on the resources that one customer or one network may use.
 #[derive(Clone, Debug, Deserialize, Validate, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct BulkheadSettings {
-    /// Off: nothing of this section holds.
+    /// Enables the limits. If off, the other keys of this section have no effect.
     pub enabled: EnabledFlag,
-    /// Share of the places for open commands that one customer may hold.
+    /// Maximum fraction of the slots for open requests that one customer may use.
     #[garde(range(min = 0.01, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub customer_places: f64,
-    /// Share of the waiting bytes that one customer may hold.
+    /// Maximum fraction of the unsent response bytes that one customer may use.
     #[garde(range(min = 0.01, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub customer_waiting: f64,
-    /// Share of the connections that one set of addresses may hold.
+    /// Maximum fraction of the connection slots that one network may use.
     #[garde(range(min = 0.01, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub peer_places: f64,
-    /// Share of the waiting bytes that one set of addresses may hold.
+    /// Maximum fraction of the unsent response bytes that one network may use.
     #[garde(range(min = 0.01, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub peer_waiting: f64,
-    /// For so long, each connection that was cut for its pace takes a place from its set of addresses, down to one.
+    /// Time for which each connection aborted as slow takes one slot from its network. One slot always remains.
     #[garde(dive)]
     pub distrust: DurationSetting,
-    /// IPv4 addresses that agree in so many bits are one set.
+    /// Prefix length of a network of IPv4 addresses, in bits.
     #[garde(range(min = 8, max = 32))]
     #[serde(deserialize_with = "number")]
     pub ipv4_prefix: u8,
-    /// The same for IPv6.
+    /// Prefix length of a network of IPv6 addresses, in bits.
     #[garde(range(min = 16, max = 128))]
     #[serde(deserialize_with = "number")]
     pub ipv6_prefix: u8,
-    /// Networks that carry many customers, such as a front: no set of addresses there is bounded.
+    /// Networks without limits, such as those of proxies that carry the traffic of many customers.
     pub exempt: Networks,
 }
 
@@ -149,11 +148,11 @@
     }
 }
 
-/// Checks a duration, in milliseconds.
-fn between(min: u64, max: u64) -> impl FnOnce(&DurationSetting, &()) -> garde::Result {
+/// Checks that a duration is within bounds, in milliseconds.
+fn duration_between(min: u64, max: u64) -> impl FnOnce(&DurationSetting, &()) -> garde::Result {
     let range = DurationSetting::from_millis(min)..=DurationSetting::from_millis(max);
-    move |time, ()| {
-        if range.contains(time) {
+    move |duration, ()| {
+        if range.contains(duration) {
             Ok(())
         } else {
             Err(garde::Error::new(format!(
@@ -163,7 +162,7 @@
     }
 }
 
-/// Checks a size, in bytes.
+/// Checks that a size is within bounds, in bytes.
 fn size_between(min: u64, max: u64) -> impl FnOnce(&Size, &()) -> garde::Result {
     move |size, ()| {
         if (min..=max).contains(&size.0) {
--- a/crates/slow-peer/src/socket/capacity.rs
+++ b/crates/slow-peer/src/socket/capacity.rs
@@ -1,9 +1,9 @@
-//! What the program can hold.
+//! The resources of the process.
 
-/// What the program can hold.
+/// The resources of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Client connections, at most.
+    /// Maximum number of client connections.
     pub connections: usize,
     /// Memory in bytes.
     pub memory_bytes: u64,
--- a/crates/slow-peer/src/socket/kernel.rs
+++ b/crates/slow-peer/src/socket/kernel.rs
@@ -1,4 +1,4 @@
-//! What the kernel holds of a connection, limited and read (Linux).
+//! Socket options and state of TCP connections in the kernel (Linux).
 
 use std::io;
 use std::os::fd::{AsFd, AsRawFd, BorrowedFd};
@@ -9,13 +9,13 @@
 /// Nanoseconds in the unit of `tcpi_rtt`, the microsecond.
 const NANOS_PER_MICRO: u64 = 1_000;
 
-/// Limits the bytes of responses that the kernel accepts: `send_buffer_bytes` (the kernel doubles it, for its own bookkeeping), and no
-/// more than `max_unsent_bytes` that it could not send yet. Set on a listener, both apply to
-/// all connections accepted from it, so a connection costs no call.
+/// Limits the response bytes that the kernel buffers: `send_buffer_bytes` in all (the kernel doubles this for its own
+/// bookkeeping), of which `max_unsent_bytes` may be not yet sent. If this is set on a listener, accepted connections inherit
+/// both limits, without a system call for each.
 ///
 /// # Errors
 ///
-/// What the kernel returns.
+/// Returns the error of the system call.
 pub fn limit_send_buffer(
     socket: &impl AsFd,
     send_buffer_bytes: usize,
@@ -26,14 +26,14 @@
     socket.set_tcp_notsent_lowat(max_unsent_bytes)
 }
 
-/// Bytes that were written and that the other end has not acknowledged.
+/// Returns the number of bytes that were written and that the peer has not acknowledged.
 ///
 /// # Errors
 ///
-/// What the kernel returns, as for a socket that is no stream.
+/// Returns the error of the system call, for example if the socket is not a stream socket.
 pub fn unacknowledged(socket: BorrowedFd<'_>) -> io::Result<u64> {
     let mut bytes: libc::c_int = 0;
-    // SAFETY: the descriptor is open while it is borrowed, and SIOCOUTQ (TIOCOUTQ) writes one int, which `bytes` is.
+    // SAFETY: the descriptor is open while it is borrowed, and TIOCOUTQ (SIOCOUTQ) writes one int to `bytes`.
     let result = unsafe { libc::ioctl(socket.as_raw_fd(), libc::TIOCOUTQ, &raw mut bytes) };
     if result < 0 {
         return Err(io::Error::last_os_error());
@@ -41,9 +41,9 @@
     Ok(u64::try_from(bytes).unwrap_or(0))
 }
 
-/// The kernel's estimate of the round trip to the other end, in nanoseconds, where there is one.
+/// Returns the kernel's estimate of the round-trip time to the peer, in nanoseconds, or `None` if it cannot be read.
 pub fn round_trip_ns(socket: BorrowedFd<'_>) -> Option<u64> {
-    // SAFETY: all fields are numbers, for which zeroes are a value.
+    // SAFETY: all fields are integers, for which zero is a valid value.
     let mut info: libc::tcp_info = unsafe { std::mem::zeroed() };
     let mut length = std::mem::size_of::<libc::tcp_info>() as libc::socklen_t;
     // SAFETY: the descriptor is open while it is borrowed; the kernel writes no more than `length` bytes into `info`.
@@ -59,9 +59,9 @@
     (result >= 0).then(|| u64::from(info.tcpi_rtt) * NANOS_PER_MICRO)
 }
 
-/// Makes the connection end with a reset when it is closed, and drops the bytes that the kernel still holds: with a client
-/// that does not read, they would use memory for minutes after the close.
+/// Makes the close of a connection send a reset and discard the bytes that the kernel still holds. With a client that does
+/// not read, these would otherwise use memory for minutes after the close.
 pub fn reset_at_close(socket: BorrowedFd<'_>) {
-    // If this fails, the socket is closed as usual.
+    // If this fails, the socket is closed gracefully.
     let _ = SockRef::from(&socket).set_linger(Some(Duration::ZERO));
 }
--- a/crates/slow-peer/src/socket/mod.rs
+++ b/crates/slow-peer/src/socket/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets: what the kernel holds of them, and the connections whose responses are monitored.
+//! Slow-peer protection of real sockets: the monitored client connections, and their state in the kernel.
 
 mod capacity;
 mod connection;
--- a/crates/slow-peer/src/socket/monitor.rs
+++ b/crates/slow-peer/src/socket/monitor.rs
@@ -1,7 +1,7 @@
-//! The client connections whose responses are monitored, and the aborts of slow ones.
+//! Monitors the responses on client connections, and aborts slow ones.
 //!
-//! Shared by the acceptor, the requests and one ticking task. Invariants: every call is short and awaits nothing; a
-//! descriptor is used only under the lock and while its [`MonitoredConnection`] exists.
+//! The monitor is shared by the acceptor, the requests and one task that ticks it. Invariants: calls are short and never
+//! block on I/O; a descriptor is used only under the lock and while its [`MonitoredConnection`] exists.
 
 use std::net::IpAddr;
 use std::os::fd::BorrowedFd;
@@ -18,21 +18,21 @@
     ResourceNeed, ResourceOwner, ResponseStart, ResponseStatus, Settings, SlowPeerEvent,
 };
 
-/// Events since the last report, and the bytes that wait.
+/// Events since the last report, and unsent bytes.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Events by kind.
+    /// Number of events of each kind.
     pub counts: EventCounts,
-    /// Owners with the most events.
+    /// The owners with the most events, most events first.
     pub owners: Vec<OwnerStatistics>,
-    /// Bytes of responses that wait now.
+    /// Current number of unsent response bytes.
     pub unsent_bytes: u64,
-    /// The highest number of bytes that waited since the last report.
+    /// The highest number of unsent response bytes since the last report.
     pub max_unsent_bytes: u64,
 }
 
-/// A connection whose responses are monitored. It is no longer monitored when this is dropped, which has to be no later
-/// than its socket is closed: afterwards the descriptor's number belongs to another socket.
+/// A connection whose responses are monitored. Monitoring ends when this is dropped, which has to happen before the socket
+/// is closed, since the descriptor number may then be reused for another socket.
 pub struct MonitoredConnection {
     monitor: Arc<TransferMonitor>,
     id: ConnectionId,
@@ -42,22 +42,22 @@
 }
 
 impl MonitoredConnection {
-    /// Identifies the connection to its monitor.
+    /// The identifier of the connection.
     pub fn id(&self) -> ConnectionId {
         self.id
     }
 
-    /// Its network, where that is limited.
+    /// The network of the peer, if it is limited.
     pub fn peer_network(&self) -> Option<IpNet> {
         self.peer_network
     }
 
-    /// False if its network uses all slots that one network may use: the connection is to be rejected.
+    /// False if the peer's network already uses all slots that one network may use. The connection has to be rejected then.
     pub fn has_slot(&self) -> bool {
         self.has_slot
     }
 
-    /// Records bytes that were written on it.
+    /// Records bytes that were written on the connection.
     pub fn record_written(&self, bytes: usize) {
         self.written_bytes
             .fetch_add(bytes as u64, Ordering::Relaxed);
@@ -84,7 +84,7 @@
 }
 
 impl TransferMonitor {
-    /// A monitor without connections.
+    /// Creates a monitor without connections.
     pub fn new(
         settings: &Settings,
         bulkheads: &BulkheadSettings,
@@ -98,18 +98,18 @@
         })
     }
 
-    /// The settings that it was created with.
+    /// The settings of the monitor.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        // Nothing panics while it holds the lock; if it did, the state would still be consistent.
+        // No code panics while it holds the lock, and the state would be consistent even then.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Registers a connection from an address. `with_socket` lends its descriptor, and `abort` is called once if the
-    /// connection has to be aborted: it only notifies the connection's owner, who closes it.
+    /// Registers a connection from an address. `with_socket` borrows its descriptor. `abort` is called at most once, if the
+    /// connection has to be aborted; it only notifies the owner of the connection, which then closes it.
     pub fn register(
         self: &Arc<Self>,
         now_ns: u64,
@@ -145,12 +145,12 @@
         }
     }
 
-    /// A request was read on a connection.
+    /// Records that a request was read on a connection.
     pub fn request_started(&self, id: ConnectionId) {
         self.state().outgoing.request_started(id);
     }
 
-    /// That request has its response, which is too short to be monitored.
+    /// Records that the pending request has its response, which is too short to be monitored.
     pub fn response_needs_no_monitoring(&self, id: ConnectionId) {
         self.state().outgoing.response_needs_no_monitoring(id);
     }
@@ -159,7 +159,7 @@
     ///
     /// # Errors
     ///
-    /// The customer uses all slots that one customer may use.
+    /// Returns an error if the customer already uses all slots that one customer may use.
     pub fn acquire_request_slot(&self, now_ns: u64, customer: u64) -> Result<(), LimitExceeded> {
         let owner = ResourceOwner::customer(customer);
         let mut state = self.state();
@@ -172,17 +172,17 @@
         acquired
     }
 
-    /// Releases the slot of a request that is over.
+    /// Releases the slot of a completed request.
     pub fn release_request_slot(&self, customer: u64) {
         let owner = ResourceOwner::customer(customer);
         self.state().customer_slots.release(owner);
     }
 
-    /// A response of so many bytes is about to be sent. If it would exceed a limit, the worst offenders are aborted.
+    /// Begins a response of this length. If it would exceed a limit, the worst of the slow connections are aborted.
     ///
     /// # Errors
     ///
-    /// The limit, if no slow connection could be aborted for it: a short response has to be sent instead.
+    /// Returns the limit if aborts of slow connections could not free enough. A short response has to be sent instead.
     pub fn begin_response(
         &self,
         now_ns: u64,
@@ -196,7 +196,7 @@
             return Ok(());
         };
         let progress = connection.progress();
-        // Bytes that were acknowledged since the last poll belong to the response before this one.
+        // Bytes that were acknowledged since the last poll belong to the previous response.
         state.outgoing.record_progress(compensated_ns, id, progress);
         let response = ResponseStart {
             id,
@@ -208,7 +208,7 @@
         let Err(limit) = begin(&mut state) else {
             return Ok(());
         };
-        // The poll alone may free enough.
+        // Polling the sockets may free enough without any abort.
         state.poll_progress_if_due(now_ns);
         if begin(&mut state).is_ok() {
             return Ok(());
@@ -232,7 +232,7 @@
         begun
     }
 
-    /// True while a response waits on a connection: the connection is not idle.
+    /// Returns true while a response on the connection is unsent, that is, while the connection is not idle.
     pub fn has_unsent_response(&self, now_ns: u64, id: ConnectionId) -> bool {
         let mut state = self.state();
         if state.outgoing.is_sending(id) {
@@ -241,7 +241,7 @@
         state.outgoing.is_sending(id)
     }
 
-    /// Aborts the worst offender to free a connection slot. Returns false if there is none.
+    /// Aborts the worst of the slow connections to free a connection slot. Returns false if none may be aborted.
     pub fn abort_one_for_connection_slot(&self, now_ns: u64) -> bool {
         let mut state = self.state();
         state.poll_progress_if_due(now_ns);
@@ -249,13 +249,13 @@
         let aborts = state
             .outgoing
             .abort_for_resources(compensated_ns, ResourceNeed::ConnectionSlot);
-        let found = !aborts.is_empty();
+        let has_aborted = !aborts.is_empty();
         state.abort(compensated_ns, aborts);
-        found
+        has_aborted
     }
 
     /// Polls all outgoing responses, and aborts those below the minimum data rate. `used_slots` is the fraction of
-    /// connection slots in use. To be called as often as the settings say.
+    /// connection slots in use. This has to be called at the interval in the settings (`tick`).
     pub fn tick(&self, now_ns: u64, used_slots: f64) {
         let mut state = self.state();
         let next_tick_ns = now_ns + self.settings.tick.as_nanos();
@@ -268,12 +268,12 @@
         state.abort(compensated_ns, aborts);
     }
 
-    /// Counts an event.
+    /// Records an event that does not concern an outgoing response.
     pub fn record(&self, owner: ResourceOwner, event: SlowPeerEvent) {
         self.state().statistics.record(owner, event);
     }
 
-    /// Events since the last call, with the owners that have the most, at most so many.
+    /// Returns the events since the last call with at most `max_owners` owners, and resets the statistics.
     pub fn take_report(&self, max_owners: usize) -> Report {
         let mut state = self.state();
         let summary = state.statistics.take(max_owners);
--- a/crates/slow-peer/src/socket/state.rs
+++ b/crates/slow-peer/src/socket/state.rs
@@ -1,4 +1,4 @@
-//! The state that a monitor guards by its lock.
+//! The state of a monitor, which its lock guards.
 
 use std::collections::HashMap;
 
@@ -9,14 +9,14 @@
     ResponseStatus, Settings, SlowPeerEvent, SlowPeerStatistics, StallCompensatedClock,
 };
 
-/// Delay of a tick, in nanoseconds, beyond which the program counts as stopped: two thirds of a tick by default, which a
-/// busy machine does not reach.
+/// Delay of a tick, in nanoseconds, beyond which the process counts as stalled: about two thirds of the default tick
+/// interval. On a busy machine, ticks are late by less than this.
 const TICK_SLACK_NS: u64 = 30_000_000;
-/// Shortest time between polls of the sockets outside ticks, in nanoseconds: bounds their cost when many connections need
-/// one at once.
+/// Minimum time between polls of the sockets outside ticks, in nanoseconds. It bounds the cost of polling when many
+/// connections request it at once.
 const MIN_POLL_INTERVAL_NS: u64 = 5_000_000;
 
-/// Connections, accounts and statistics.
+/// Connections, resource accounts and statistics.
 pub(super) struct State {
     pub(super) clock: StallCompensatedClock,
     pub(super) polled_at_ns: u64,
@@ -29,7 +29,7 @@
 }
 
 impl State {
-    /// A state without connections.
+    /// Creates a state without connections.
     pub(super) fn new(
         settings: &Settings,
         bulkheads: &BulkheadSettings,
@@ -49,21 +49,22 @@
         }
     }
 
-    /// Adds a connection.
+    /// Adds a connection, and returns its identifier.
     pub(super) fn insert(&mut self, connection: Connection) -> ConnectionId {
         self.last_id = ConnectionId(self.last_id.0 + 1);
         self.connections.insert(self.last_id, connection);
         self.last_id
     }
 
-    /// Reads the progress of all connections on which responses wait, unless that was done a moment ago.
+    /// Reads the progress of all connections with unsent responses, unless that was done less than [`MIN_POLL_INTERVAL_NS`]
+    /// ago.
     pub(super) fn poll_progress_if_due(&mut self, now_ns: u64) {
         if now_ns.saturating_sub(self.polled_at_ns) >= MIN_POLL_INTERVAL_NS {
             self.poll_progress(now_ns);
         }
     }
 
-    /// Reads the progress of all connections on which responses wait.
+    /// Reads the progress of all connections with unsent responses.
     pub(super) fn poll_progress(&mut self, now_ns: u64) {
         self.polled_at_ns = now_ns;
         let compensated_ns = self.clock.now(now_ns);
@@ -75,10 +76,10 @@
         }
     }
 
-    /// Notifies the owners of connections that these are aborted, counts that, and takes slots from their networks.
+    /// Carries out aborts: notifies the owners of the connections, records the events, and penalizes the networks.
     pub(super) fn abort(&mut self, compensated_ns: u64, aborts: Vec<Abort>) {
         for abort in aborts {
-            // The client usually reconnects at once, and would use a slot again until it is found slow.
+            // The client usually reconnects at once and would occupy a slot until it is detected as slow again.
             let network = ResourceOwner::network(abort.owner.peer_network);
             self.peer_network_slots.penalize(compensated_ns, network);
             let event = SlowPeerEvent::ResponseAborted(abort.reason);
--- a/crates/slow-peer/src/statistics.rs
+++ b/crates/slow-peer/src/statistics.rs
@@ -1,4 +1,4 @@
-//! Counts of events for the log, and a table of the owners on whose account they were.
+//! Event counts for the log, in total and by resource owner.
 
 #[cfg(test)]
 mod tests;
@@ -9,45 +9,45 @@
 use crate::outgoing::AbortReason;
 use crate::resource_account::{LimitExceeded, ResourceOwner};
 
-/// Owners in the table; beyond that, the one with the fewest events is replaced. Bounds memory against peers that connect
-/// from ever new addresses.
+/// Maximum number of owners in the table. Beyond it, a new owner replaces the one with the fewest events. This bounds memory
+/// when peers connect from ever new addresses.
 const MAX_OWNERS: usize = 64;
 
-/// One kind of event.
+/// A kind of event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum SlowPeerEvent {
     /// An outgoing response was aborted.
     ResponseAborted(AbortReason),
-    /// A response was replaced by a short one: its bytes would have exceeded a limit.
+    /// A response was replaced by a short one, since its bytes would have exceeded a limit.
     ResponseReplaced(LimitExceeded),
-    /// An upstream response was given up: it stalled.
+    /// An upstream response was aborted because it stalled.
     UpstreamResponseStalled,
-    /// An upstream response was given up: it was too slow.
+    /// An upstream response was aborted because it was too slow.
     UpstreamResponseTooSlow,
-    /// A request body was given up.
+    /// A request body was aborted because it stalled or was too slow.
     RequestBodyTooSlow,
-    /// A request was rejected: its customer used all of its slots.
+    /// A request was rejected because its customer used all of its slots.
     CustomerSlotsExhausted,
-    /// A connection was rejected: its network used all of its slots.
+    /// A connection was rejected because its network used all of its slots.
     PeerNetworkSlotsExhausted,
 }
 
-/// Counts since they were last taken.
+/// Event counts since the last call of [`SlowPeerStatistics::take`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EventCounts {
     /// Responses aborted because they were below the minimum data rate.
     pub aborted_below_minimum_rate: u64,
-    /// Responses aborted because nothing of them moved.
+    /// Responses aborted because no bytes were acknowledged.
     pub aborted_stalled: u64,
     /// Responses aborted to free resources.
     pub aborted_for_resources: u64,
     /// Responses replaced by a short one.
     pub responses_replaced: u64,
-    /// Upstream responses given up for a stall.
+    /// Upstream responses aborted because they stalled.
     pub upstream_responses_stalled: u64,
-    /// Upstream responses given up for their rate.
+    /// Upstream responses aborted because they were too slow.
     pub upstream_responses_too_slow: u64,
-    /// Request bodies given up.
+    /// Request bodies aborted because they stalled or were too slow.
     pub request_bodies_too_slow: u64,
     /// Requests rejected because their customer used all of its slots.
     pub customer_slots_exhausted: u64,
@@ -78,37 +78,37 @@
 /// The events of one owner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerStatistics {
-    /// The customer or network. Events of upstream responses have no owner and are counted only.
+    /// The customer or network. Events of upstream responses have no owner and appear in the counts only.
     pub owner: ResourceOwner,
-    /// How many events.
+    /// Number of events.
     pub events: u64,
-    /// The last event.
+    /// The most recent event.
     pub last_event: SlowPeerEvent,
-    /// The highest number of unsent bytes of one connection when it was aborted.
+    /// The highest number of unsent bytes of a response at an event.
     pub max_unsent_bytes: u64,
-    /// The highest age of a response, in nanoseconds.
+    /// The highest age of a response at an event, in nanoseconds.
     pub max_age_ns: u64,
 }
 
-/// The response that an event is about.
+/// The state of a response at the time of an event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResponseStatus {
-    /// Bytes that are not sent.
+    /// Bytes of the response that are not yet acknowledged.
     pub unsent_bytes: u64,
     /// Time since the response began, in nanoseconds.
     pub age_ns: u64,
 }
 
-/// Events since they were last taken.
+/// Events since the last call of [`SlowPeerStatistics::take`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EventSummary {
-    /// All events by kind.
+    /// Number of events of each kind.
     pub counts: EventCounts,
-    /// The owners with the most events.
+    /// The owners with the most events, most events first.
     pub owners: Vec<OwnerStatistics>,
 }
 
-/// Counts and the table of owners.
+/// Event counts, and a bounded table of the owners with the most events.
 #[derive(Debug, Default)]
 pub struct SlowPeerStatistics {
     counts: EventCounts,
@@ -116,12 +116,12 @@
 }
 
 impl SlowPeerStatistics {
-    /// Counts an event that is about no response.
+    /// Records an event that does not concern an outgoing response.
     pub fn record(&mut self, owner: ResourceOwner, event: SlowPeerEvent) {
         self.record_response(owner, event, ResponseStatus::default());
     }
 
-    /// Counts an event that is about a response.
+    /// Records an event that concerns an outgoing response.
     pub fn record_response(
         &mut self,
         owner: ResourceOwner,
@@ -135,31 +135,34 @@
         if !self.by_owner.contains_key(&owner) && self.by_owner.len() >= MAX_OWNERS {
             self.remove_owner_with_fewest_events();
         }
-        let row = self.by_owner.entry(owner).or_insert(OwnerStatistics {
+        let entry = self.by_owner.entry(owner).or_insert(OwnerStatistics {
             owner,
             events: 0,
             last_event: event,
             max_unsent_bytes: 0,
             max_age_ns: 0,
         });
-        row.events += 1;
-        row.last_event = event;
-        row.max_unsent_bytes = row.max_unsent_bytes.max(response.unsent_bytes);
-        row.max_age_ns = row.max_age_ns.max(response.age_ns);
+        entry.events += 1;
+        entry.last_event = event;
+        entry.max_unsent_bytes = entry.max_unsent_bytes.max(response.unsent_bytes);
+        entry.max_age_ns = entry.max_age_ns.max(response.age_ns);
     }
 
     fn remove_owner_with_fewest_events(&mut self) {
-        let rows = self.by_owner.values();
-        let fewest = rows.min_by_key(|row| row.events).map(|row| row.owner);
+        let entries = self.by_owner.values();
+        let fewest = entries
+            .min_by_key(|entry| entry.events)
+            .map(|entry| entry.owner);
         if let Some(owner) = fewest {
             self.by_owner.remove(&owner);
         }
     }
 
-    /// The events since the last call, and the owners with the most of them, at most so many.
+    /// Returns the events since the last call with at most `max_owners` owners, and resets the statistics.
     pub fn take(&mut self, max_owners: usize) -> EventSummary {
-        let mut owners: Vec<OwnerStatistics> = self.by_owner.drain().map(|(_, row)| row).collect();
-        owners.sort_by_key(|row| Reverse((row.events, row.max_unsent_bytes)));
+        let mut owners: Vec<OwnerStatistics> =
+            self.by_owner.drain().map(|(_, entry)| entry).collect();
+        owners.sort_by_key(|entry| Reverse((entry.events, entry.max_unsent_bytes)));
         owners.truncate(max_owners);
         EventSummary {
             counts: std::mem::take(&mut self.counts),
