--- a/crates/slow-peer/src/bulkheads/tests.rs
+++ b/crates/slow-peer/src/bulkheads/tests.rs
@@ -1,4 +1,4 @@
-//! Networks are distinguished by prefix, and slots are limited as configured.
+//! Tests of the classification of networks and of the limits on slots.
 
 use super::*;
 
@@ -12,20 +12,23 @@
 }
 
 #[test]
-fn addresses_of_a_network_count_together_and_exempt_ones_not_at_all() {
+fn addresses_are_classified_by_prefix_and_exempt_ones_have_no_network() {
     let classifier = NetworkClassifier::new(&settings());
-    let of = |text: &str| {
+    let network_of = |text: &str| {
         classifier
             .network_of(text.parse().unwrap())
             .map(|net| net.to_string())
     };
-    assert_eq!(of("192.0.2.7").as_deref(), Some("192.0.2.0/24"));
-    assert_eq!(of("::ffff:192.0.2.9").as_deref(), Some("192.0.2.0/24"));
+    assert_eq!(network_of("192.0.2.7").as_deref(), Some("192.0.2.0/24"));
     assert_eq!(
-        of("2001:db8:0:1ff::1").as_deref(),
+        network_of("::ffff:192.0.2.9").as_deref(),
+        Some("192.0.2.0/24")
+    );
+    assert_eq!(
+        network_of("2001:db8:0:1ff::1").as_deref(),
         Some("2001:db8:0:100::/56")
     );
-    assert_eq!(of("10.1.2.3"), None);
+    assert_eq!(network_of("10.1.2.3"), None);
     assert_eq!(
         NetworkClassifier::new(&BulkheadSettings::default())
             .network_of("192.0.2.7".parse().unwrap()),
@@ -36,12 +39,12 @@
 #[test]
 fn penalized_network_gets_fewer_slots_for_a_while_and_always_one() {
     let mut bulkheads = Bulkheads::new(&settings(), 8);
-    let peer = |text: &str| ResourceOwner {
+    let owner_in = |text: &str| ResourceOwner {
         customer: None,
         peer_network: Some(text.parse().unwrap()),
     };
-    let (penalized, other) = (peer("192.0.2.0/24"), peer("198.51.100.0/24"));
-    let enter = |bulkheads: &mut Bulkheads, now, owner| {
+    let (penalized, other) = (owner_in("192.0.2.0/24"), owner_in("198.51.100.0/24"));
+    let acquire_all = |bulkheads: &mut Bulkheads, now, owner| {
         (0..8)
             .take_while(|_| bulkheads.acquire(now, owner).is_ok())
             .count()
@@ -49,23 +52,23 @@
     (0..2).for_each(|_| bulkheads.penalize(0, penalized));
     assert_eq!(
         (
-            enter(&mut bulkheads, 1, penalized),
-            enter(&mut bulkheads, 1, other)
+            acquire_all(&mut bulkheads, 1, penalized),
+            acquire_all(&mut bulkheads, 1, other)
         ),
         (2, 4)
     );
     (0..2).for_each(|_| bulkheads.release(penalized));
-    // However many penalties: one slot stays, and all come back when the time is over.
+    // One slot remains however many penalties there are, and all slots are available again once the penalties expire.
     (0..100).for_each(|_| bulkheads.penalize(1, penalized));
     assert!(bulkheads.penalties.len() < 4);
-    assert_eq!(enter(&mut bulkheads, 2, penalized), 1);
+    assert_eq!(acquire_all(&mut bulkheads, 2, penalized), 1);
     bulkheads.release(penalized);
-    assert_eq!(enter(&mut bulkheads, 20_000_000_000, penalized), 4);
+    assert_eq!(acquire_all(&mut bulkheads, 20_000_000_000, penalized), 4);
     assert!(bulkheads.penalties.is_empty() && bulkheads.penalty_counts.is_empty());
 }
 
 #[test]
-fn slots_within_a_limit_are_acquired_and_released() {
+fn customer_acquires_slots_up_to_its_limit() {
     let mut bulkheads = Bulkheads::new(&settings(), 8);
     let customer = |customer| ResourceOwner {
         customer: Some(customer),
--- a/crates/slow-peer/src/outgoing/tests.rs
+++ b/crates/slow-peer/src/outgoing/tests.rs
@@ -1,4 +1,4 @@
-//! Which connections are aborted, when, and in which order.
+//! Tests of which connections are aborted, when, and in which order.
 
 use super::*;
 use applewall_operator_config::{DurationSetting, EnabledFlag, Size};
@@ -26,7 +26,7 @@
     }
 }
 
-/// A response on a connection, on the account of a customer.
+/// A response on a connection, accounted to a customer.
 fn response(id: u64, customer: u64, bytes: u64, progress: TransferProgress) -> ResponseStart {
     ResponseStart {
         id: ConnectionId(id),
@@ -36,7 +36,7 @@
     }
 }
 
-/// Begins the first response on a connection, on the account of the customer with the same number.
+/// Begins the first response on a connection, accounted to the customer with the same number.
 fn begin(outgoing: &mut OutgoingTransfers, at: u64, id: u64, bytes: u64) {
     outgoing
         .begin_response(at, response(id, id, bytes, TransferProgress::default()))
@@ -56,7 +56,7 @@
         };
         let mut outgoing = OutgoingTransfers::new(&settings, &BulkheadSettings::default(), 0);
         begin(&mut outgoing, 0, 1, 4 << 20);
-        // A step each 100 ms: 1,040 or 980 bytes a second, where the minimum is 1,024.
+        // One step per 100 ms, that is 1,040 or 980 bytes per second; the minimum is 1,024.
         let aborted = (1..=36_000).find(|index| {
             outgoing.record_progress(
                 index * 100 * MS,
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn stopped_transfer_is_aborted_unless_its_response_is_not_begun_or_a_pipelined_request_is_pending()
+fn stalled_transfer_is_aborted_unless_its_response_is_unwritten_or_a_pipelined_request_is_pending()
 {
     let mut outgoing = new_outgoing();
     for id in 1..=3 {
@@ -96,7 +96,7 @@
         [(2, AbortReason::Stalled, 46_000)]
     );
     assert_eq!(outgoing.connection_ids(), [1, 3].map(ConnectionId));
-    // Once its next response is begun, the pipelining connection is like any other and accounts for both.
+    // Once its next response has begun, the pipelining connection may be aborted, with the unsent bytes of both responses.
     outgoing
         .begin_response(5 * SECOND, response(3, 3, 1_000, progress(20_000, 4_000)))
         .expect("within all limits");
@@ -122,7 +122,7 @@
         assert!(outgoing
             .abort_below_minimum_rate(5 * SECOND, 0.0)
             .is_empty());
-        // Its second request has its response, of which not a byte can be written.
+        // The second request has its response, of which no byte can be written.
         if is_monitored {
             outgoing
                 .begin_response(5 * SECOND, response(1, 1, 1_000, progress(20_000, 4_000)))
@@ -135,16 +135,16 @@
                 .abort_below_minimum_rate(5 * SECOND + MS, 0.0)
                 .len(),
             1,
-            "aborts, with a second response that is monitored: {is_monitored}"
+            "aborts, second response is monitored: {is_monitored}"
         );
         assert!(outgoing.unsent_bytes().is_empty());
     }
 }
 
 #[test]
-fn worst_offenders_are_aborted_for_resources_and_never_a_healthy_transfer() {
+fn worst_transfers_are_aborted_for_resources_and_never_a_healthy_one() {
     let mut outgoing = new_outgoing();
-    // 1 is healthy and holds most; 2 and 3 stand still, 3 for longer.
+    // Connection 1 is healthy and has the most unsent bytes. 2 and 3 are stalled, 3 for longer.
     for (at, id, bytes) in [
         (0, 3, 300_000),
         (SECOND / 2, 2, 300_000),
@@ -156,7 +156,7 @@
     outgoing.record_progress(SECOND, ConnectionId(1), progress(100_000, 100_000));
     let limit = outgoing
         .begin_response(SECOND, response(4, 4, 200_000, TransferProgress::default()))
-        .expect_err("beyond the limit of all");
+        .expect_err("beyond the total limit");
     let aborts = outgoing.abort_for_resources(
         SECOND,
         ResourceNeed::Bytes {
@@ -181,14 +181,14 @@
             .collect::<Vec<_>>(),
         [2]
     );
-    // No connection is aborted in vain: those that remain move fast enough, or are too young to be judged.
+    // No further connection is aborted: those that remain are fast enough, or too young to be checked.
     assert!(outgoing
         .abort_for_resources(SECOND, ResourceNeed::ConnectionSlot)
         .is_empty());
 }
 
 #[test]
-fn distant_client_does_not_count_as_standing_still() {
+fn distant_client_does_not_count_as_stalled() {
     for (round_trip_ns, aborts) in [(1, 1), (90 * MS, 0)] {
         let mut outgoing = new_outgoing();
         begin(&mut outgoing, 0, 1, 60_000);
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn customer_cannot_use_the_bytes_of_others() {
+fn customer_cannot_exceed_its_limit_on_unsent_bytes() {
     let bulkheads = BulkheadSettings {
         enabled: EnabledFlag(true),
         ..BulkheadSettings::default()
@@ -240,7 +240,7 @@
     let mut outgoing = new_outgoing();
     begin(&mut outgoing, 0, 1, 100_000);
     outgoing.record_progress(MS, ConnectionId(1), progress(50_000, 2_000));
-    // 4,000 bytes a second by then: above the minimum at a pressure of 0.4, and below it at full pressure.
+    // 4,000 bytes per second so far: above the minimum at a pressure of 0.4, and below it at full pressure.
     assert!(outgoing
         .abort_below_minimum_rate(SECOND / 2, 0.4)
         .is_empty());
--- a/crates/slow-peer/src/statistics/tests.rs
+++ b/crates/slow-peer/src/statistics/tests.rs
@@ -1,9 +1,9 @@
-//! The table of owners is bounded and names the worst.
+//! Tests that the table of owners is bounded and keeps the owners with the most events.
 
 use super::*;
 
 #[test]
-fn table_names_the_worst_owners_and_stays_bounded() {
+fn table_keeps_owners_with_most_events_and_stays_bounded() {
     let mut statistics = SlowPeerStatistics::default();
     let owner = ResourceOwner::customer;
     for index in 0..3 {
--- a/crates/slow-peer/tests/schedules.rs
+++ b/crates/slow-peer/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules: properties that hold for any events in any order.
+//! Property tests with random schedules: invariants that hold for any events in any order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,11 +13,11 @@
 
 const MS: u64 = 1_000_000;
 const NANOS_PER_SECOND: f64 = 1e9;
-/// Bounds the bytes that wait.
+/// Limit on unsent bytes.
 const MAX_UNSENT_BYTES: u64 = 200_000;
-/// Time without progress from which a transfer stands still.
-const STANDSTILL: u64 = 50 * MS;
-/// Time in which an incoming transfer has to be complete.
+/// Time without progress after which a transfer is stalled.
+const MIN_STALL: u64 = 50 * MS;
+/// Time by which an incoming transfer has to be complete.
 const INCOMING_DEADLINE: u64 = 1_500 * MS;
 
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     AbortForSlot,
 }
 
-/// A step and the milliseconds before it.
+/// A step, and the time before it in milliseconds.
 fn step() -> impl Strategy<Value = (u64, Step)> {
     let id = || 0u64..8;
     let step = prop_oneof![
@@ -66,7 +66,7 @@
     }
 }
 
-/// All bytes are acknowledged at once.
+/// Progress with all written bytes acknowledged.
 fn progress(bytes: u64) -> TransferProgress {
     TransferProgress {
         written_bytes: bytes,
@@ -75,17 +75,18 @@
     }
 }
 
-/// What the rules imply of one connection, computed without the code under test.
+/// Expected state of a connection, computed independently of the code under test.
 #[derive(Default)]
 struct ExpectedTransfer {
     began: u64,
+    /// Times and byte counts of the progress so far.
     delivered: Vec<(u64, u64)>,
     is_written: bool,
     request_pending: bool,
 }
 
 impl ExpectedTransfer {
-    /// Bytes per second of exactly the last window, which is the strictest reading of the rate.
+    /// Bytes per second within exactly the last window. The code under test may compute a higher rate, never a lower one.
     fn rate(&self, now: u64, window: u64) -> f64 {
         let recent = self.delivered.iter().filter(|(at, _)| *at + window > now);
         let bytes: u64 = recent.map(|(_, bytes)| bytes).sum();
@@ -101,36 +102,39 @@
     ) -> Result<(), TestCaseError> {
         prop_assert!(
             self.is_written && !self.request_pending,
-            "a request would be lost"
+            "the abort would lose a request"
         );
         let age = now - self.began;
-        prop_assert!(age >= STANDSTILL, "aborted at the age of {age} ns");
+        prop_assert!(age >= MIN_STALL, "aborted at the age of {age} ns");
         let short = settings().room_grace.as_nanos();
         let is_slow = match reason {
-            // For resources: slow over the short window, or standing still.
+            // To free resources: slow over the short window, or stalled.
             AbortReason::ResourcesNeeded => {
-                self.rate(now, STANDSTILL) == 0.0 || age >= short && self.rate(now, short) < minimum
+                self.rate(now, MIN_STALL) == 0.0 || age >= short && self.rate(now, short) < minimum
             }
             _ => self.rate(now, age.min(settings().window.as_nanos())) < minimum,
         };
-        prop_assert!(is_slow, "aborted at the minimum rate of {minimum}");
+        prop_assert!(
+            is_slow,
+            "aborted although not below the minimum rate of {minimum}"
+        );
         Ok(())
     }
 }
 
-/// Connections that are aborted, and the minimum rate that applies to them.
+/// Aborted connections, and the minimum rate that applied to them.
 struct Aborts {
     aborts: Vec<Abort>,
     minimum: f64,
 }
 
-/// The transfers under test beside what is expected of them.
+/// The transfers under test, and their expected states.
 struct Model {
     now: u64,
     transfers: OutgoingTransfers,
     expected: BTreeMap<ConnectionId, ExpectedTransfer>,
-    /// Bytes of each connection so far.
-    moved: BTreeMap<ConnectionId, u64>,
+    /// Bytes transferred on each connection so far.
+    transferred: BTreeMap<ConnectionId, u64>,
 }
 
 impl Model {
@@ -139,12 +143,12 @@
             now: 0,
             transfers: OutgoingTransfers::new(&settings(), &bulkheads(has_bulkheads), 0),
             expected: BTreeMap::new(),
-            moved: BTreeMap::new(),
+            transferred: BTreeMap::new(),
         }
     }
 
-    /// Takes a step, and checks what it aborts and what it leaves.
-    fn take(&mut self, wait: u64, step: Step) -> Result<(), TestCaseError> {
+    /// Runs a step, and checks the aborts and the number of unsent bytes after it.
+    fn run(&mut self, wait: u64, step: Step) -> Result<(), TestCaseError> {
         self.now += wait * MS;
         let Aborts { aborts, minimum } = self.apply(step)?;
         for abort in aborts {
@@ -153,13 +157,13 @@
             expected.check_abort(self.now, abort.reason, minimum)?;
         }
         let unsent = self.transfers.unsent_bytes().total();
-        prop_assert!(unsent <= MAX_UNSENT_BYTES, "{unsent} bytes wait");
+        prop_assert!(unsent <= MAX_UNSENT_BYTES, "{unsent} unsent bytes");
         Ok(())
     }
 
     fn apply(&mut self, step: Step) -> Result<Aborts, TestCaseError> {
         let mut aborts = Vec::new();
-        // Where resources are freed, the minimum rate is the highest one.
+        // While resources are freed, the minimum rate of full pressure applies.
         let mut minimum = settings().out_least_full.0 as f64;
         match step {
             Step::Begin {
@@ -201,7 +205,7 @@
             id,
             owner,
             bytes,
-            progress: progress(self.moved.get(&id).copied().unwrap_or(0)),
+            progress: progress(self.transferred.get(&id).copied().unwrap_or(0)),
         };
         let was_sending = self.transfers.is_sending(id);
         let mut begun = self.transfers.begin_response(self.now, response);
@@ -213,15 +217,15 @@
                 bytes,
             };
             aborts = self.transfers.abort_for_resources(self.now, need);
-            // No abort was in vain; another limit may still be exceeded.
+            // Aborts free enough for the limit that was exceeded; another limit may still be exceeded.
             begun = self.transfers.begin_response(self.now, response);
             prop_assert!(
                 aborts.is_empty() || begun.is_ok() || begun != Err(limit),
-                "aborts in vain: {aborts:?}"
+                "aborts that do not free enough: {aborts:?}"
             );
         }
         if begun.is_ok() {
-            // With an earlier response that still waits it is one transfer.
+            // If an earlier response is still unsent, both are one transfer.
             let earlier = self.expected.remove(&id).filter(|_| was_sending);
             let mut expected = earlier.unwrap_or_else(|| ExpectedTransfer {
                 began: self.now,
@@ -234,10 +238,10 @@
     }
 
     fn record_progress(&mut self, id: ConnectionId, bytes: u64) {
-        let moved = self.moved.entry(id).or_default();
-        *moved += bytes;
+        let transferred = self.transferred.entry(id).or_default();
+        *transferred += bytes;
         self.transfers
-            .record_progress(self.now, id, progress(*moved));
+            .record_progress(self.now, id, progress(*transferred));
         if let Some(expected) = self.expected.get_mut(&id) {
             expected.delivered.push((self.now, bytes));
             expected.is_written |= bytes > 0;
@@ -251,13 +255,13 @@
         }
         prop_assert!(
             self.transfers.unsent_bytes().is_empty(),
-            "bytes of closed connections"
+            "bytes of closed connections are still accounted"
         );
         Ok(())
     }
 }
 
-/// Pieces of an incoming transfer that arrive evenly.
+/// An incoming transfer whose pieces arrive at regular intervals.
 struct EvenArrivals {
     total: u64,
     pieces: u64,
@@ -265,8 +269,8 @@
 }
 
 impl EvenArrivals {
-    /// When the transfer is given up, if it is.
-    fn given_up_at(&self) -> Result<Option<u64>, TestCaseError> {
+    /// When the transfer is aborted, if it is.
+    fn aborted_at(&self) -> Result<Option<u64>, TestCaseError> {
         let total = self.total;
         let mut transfer = IncomingTransfer::new(&settings(), 0, INCOMING_DEADLINE, Some(total));
         let mut next_check = u64::MAX;
@@ -302,28 +306,29 @@
     fn outgoing_transfers_stay_within_the_limit_and_only_slow_ones_are_aborted(steps in prop::collection::vec(step(), 1..200), has_bulkheads in any::<bool>()) {
         let mut model = Model::new(has_bulkheads);
         for (wait, step) in steps {
-            model.take(wait, step)?;
+            model.run(wait, step)?;
         }
         model.close()?;
     }
 
-    /// A transfer that arrives evenly and will be complete in time is never given up, whatever its pieces; one that needs
-    /// many times its time is given up before half of it.
+    /// A transfer that arrives at regular intervals and completes before its deadline is never aborted, whatever the size
+    /// of its pieces. One that would take 12 times as long as it has is aborted before half of the time until the
+    /// deadline, if its pieces arrive often enough to measure the rate.
     #[test]
-    fn incoming_transfers_are_given_up_only_if_they_cannot_complete(total in 1_000u64..65_536, pieces in 5u64..200, part in 0.3f64..0.9, hopeless in any::<bool>()) {
-        // So many times its time.
-        let factor = if hopeless { 12.0 } else { part };
+    fn incoming_transfers_are_aborted_only_if_they_cannot_complete(total in 1_000u64..65_536, pieces in 5u64..200, time_fraction in 0.3f64..0.9, too_slow in any::<bool>()) {
+        // The time that the transfer takes, as a multiple of the time it has.
+        let factor = if too_slow { 12.0 } else { time_fraction };
         let gap = (INCOMING_DEADLINE as f64 * factor / pieces as f64) as u64;
         prop_assume!(gap < 350 * MS);
-        let given_up_at = EvenArrivals { total, pieces, gap }.given_up_at()?;
-        if !hopeless {
-            prop_assert_eq!(given_up_at, None);
+        let aborted_at = EvenArrivals { total, pieces, gap }.aborted_at()?;
+        if !too_slow {
+            prop_assert_eq!(aborted_at, None);
         } else if gap < 100 * MS {
-            prop_assert!(given_up_at.is_some_and(|at| at < INCOMING_DEADLINE / 2), "{:?}", given_up_at);
+            prop_assert!(aborted_at.is_some_and(|at| at < INCOMING_DEADLINE / 2), "{:?}", aborted_at);
         }
     }
 
-    /// The slots under any order of acquisitions and releases by several owners.
+    /// Each customer gets exactly its fraction of the slots, in any order of acquisitions and releases by several customers.
     #[test]
     fn bulkheads_grant_exactly_the_configured_fraction(steps in prop::collection::vec((0u64..5, any::<bool>()), 1..200), slots in 1usize..40) {
         let settings = bulkheads(true);
--- a/crates/slow-peer/tests/sockets.rs
+++ b/crates/slow-peer/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The transfer monitor on real sockets, in virtual time: the kernel holds the bytes, the test sets the time.
+//! Tests of the transfer monitor with real sockets and virtual time.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -21,17 +21,17 @@
     memory_bytes: 6 << 20,
 };
 
-/// A listener and the monitor of what it accepts.
+/// A listener and the monitor of the connections that it accepts.
 struct Server {
     listener: TcpListener,
     monitor: Arc<TransferMonitor>,
 }
 
-/// A connection with both its ends.
+/// Both ends of a monitored connection.
 struct ConnectionPair {
     monitored: MonitoredConnection,
-    ours: TcpStream,
-    theirs: TcpStream,
+    server_end: TcpStream,
+    client_end: TcpStream,
     abort_count: Arc<AtomicUsize>,
 }
 
@@ -61,12 +61,12 @@
         socket
             .connect(&self.listener.local_addr().unwrap().into())
             .unwrap();
-        let (ours, address) = self.listener.accept().unwrap();
-        ours.set_nonblocking(true).unwrap();
+        let (server_end, address) = self.listener.accept().unwrap();
+        server_end.set_nonblocking(true).unwrap();
         let abort_count = Arc::new(AtomicUsize::new(0));
         let count = abort_count.clone();
         // SAFETY: the monitored connection is dropped before the stream, as the fields of `ConnectionPair` are declared.
-        let socket_of = unsafe { borrow_descriptor(&ours) };
+        let socket_of = unsafe { borrow_descriptor(&server_end) };
         let monitored = self
             .monitor
             .register(now, address.ip(), socket_of, move || {
@@ -74,20 +74,20 @@
             });
         ConnectionPair {
             monitored,
-            ours,
-            theirs: socket.into(),
+            server_end,
+            client_end: socket.into(),
             abort_count,
         }
     }
 }
 
 impl ConnectionPair {
-    /// Writes what the kernel takes.
+    /// Writes as many of the bytes as the kernel accepts, and returns their number.
     fn write(&mut self, bytes: usize) -> usize {
-        let (all, mut written) = (vec![b'.'; bytes], 0);
+        let (data, mut written) = (vec![b'.'; bytes], 0);
         while written < bytes {
-            match self.ours.write(&all[written..]) {
-                Ok(taken) => written += taken,
+            match self.server_end.write(&data[written..]) {
+                Ok(accepted) => written += accepted,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) => panic!("{error}"),
             }
@@ -96,6 +96,7 @@
         written
     }
 
+    /// Begins a response, and writes as many of its bytes as the kernel accepts.
     fn begin(
         &mut self,
         server: &Server,
@@ -123,54 +124,55 @@
     let server = server(Settings::default(), BulkheadSettings::default());
     let mut pair = server.connect(START);
     assert_eq!(
-        SockRef::from(&pair.ours).tcp_notsent_lowat().unwrap(),
+        SockRef::from(&pair.server_end).tcp_notsent_lowat().unwrap(),
         8 << 10
     );
-    // The kernel doubles what it is asked for.
+    // The kernel doubles the requested size.
     assert_eq!(
-        SockRef::from(&pair.ours).send_buffer_size().unwrap(),
+        SockRef::from(&pair.server_end).send_buffer_size().unwrap(),
         32 << 10
     );
-    let taken = pair.write(1 << 20);
-    assert!(taken < 64 << 10, "{taken} bytes in the kernel");
+    let accepted = pair.write(1 << 20);
+    assert!(accepted < 64 << 10, "{accepted} bytes in the kernel");
     use std::os::fd::AsFd;
-    assert!(kernel::unacknowledged(pair.ours.as_fd()).unwrap() > 0);
+    assert!(kernel::unacknowledged(pair.server_end.as_fd()).unwrap() > 0);
 }
 
 #[test]
 fn client_that_stops_reading_is_reset_and_one_that_reads_is_not() {
     let server = server(Settings::default(), BulkheadSettings::default());
-    let (mut stops, mut reads) = (server.connect(START), server.connect(START));
-    stops.begin(&server, START, 1, 60_000).unwrap();
-    let mut left = 60_000 - reads.begin(&server, START, 2, 60_000).unwrap();
-    let mut got = 0;
+    let (mut stalled, mut reading) = (server.connect(START), server.connect(START));
+    stalled.begin(&server, START, 1, 60_000).unwrap();
+    let mut unwritten = 60_000 - reading.begin(&server, START, 2, 60_000).unwrap();
+    let mut received = 0;
     for tick in 1..=100 {
         let now = START + tick * 50 * MS;
-        // Reads what has arrived; the rest is written as the kernel's buffer empties.
-        let mut piece = [0; 1_024];
-        if got < 60_000 {
-            got += reads.theirs.read(&mut piece).unwrap();
+        // The client reads what has arrived; more is written as the kernel's buffer empties.
+        let mut buffer = [0; 1_024];
+        if received < 60_000 {
+            received += reading.client_end.read(&mut buffer).unwrap();
         }
-        left -= reads.write(left);
+        unwritten -= reading.write(unwritten);
         server.monitor.tick(now, 0.0);
     }
     assert_eq!(
-        (stops.aborts(), reads.aborts()),
+        (stalled.aborts(), reading.aborts()),
         (1, 0),
         "aborts of the client that stops reading, and of the other"
     );
-    // Its owner closes it, and the client can detect that the response is incomplete: a reset, not an end.
+    // After the owner has closed the connection, the client gets a reset and not an end of the stream, and so can detect
+    // that the response is incomplete.
     let ConnectionPair {
         monitored,
-        ours,
-        mut theirs,
+        server_end,
+        mut client_end,
         ..
-    } = stops;
+    } = stalled;
     drop(monitored);
-    drop(ours);
+    drop(server_end);
     let mut rest = Vec::new();
     assert_eq!(
-        theirs.read_to_end(&mut rest).unwrap_err().kind(),
+        client_end.read_to_end(&mut rest).unwrap_err().kind(),
         ErrorKind::ConnectionReset
     );
     let report = server.monitor.take_report(5);
@@ -189,49 +191,45 @@
 }
 
 #[test]
-fn stall_of_the_program_for_two_seconds_aborts_no_connection() {
+fn stall_of_the_process_for_two_seconds_aborts_no_connection() {
     let server = server(Settings::default(), BulkheadSettings::default());
     let mut pair = server.connect(START);
     pair.begin(&server, START, 1, 60_000).unwrap();
     server.monitor.tick(START + 50 * MS, 1.0);
     server.monitor.tick(START + 2_050 * MS, 1.0);
     server.monitor.tick(START + 2_100 * MS, 1.0);
-    assert_eq!(
-        pair.aborts(),
-        0,
-        "aborts after a time in which the program did not run"
-    );
-    // It does stand still, which shows in the time after that.
+    assert_eq!(pair.aborts(), 0, "aborts after a stall of the process");
+    // The connection is stalled, which is detected after the stall of the process.
     (43..80).for_each(|tick| server.monitor.tick(START + tick * 50 * MS, 1.0));
     assert_eq!(pair.aborts(), 1);
 }
 
 #[test]
-fn response_not_begun_and_pending_request_are_never_aborted() {
+fn connections_with_an_unwritten_response_or_a_pending_request_are_never_aborted() {
     let server = server(Settings::default(), BulkheadSettings::default());
-    let (mut fresh, mut ahead) = (server.connect(START), server.connect(START));
+    let (mut unwritten, mut pipelining) = (server.connect(START), server.connect(START));
     let owner = ResourceOwner {
         customer: Some(1),
         peer_network: None,
     };
     server
         .monitor
-        .begin_response(START, fresh.monitored.id(), owner, 60_000)
+        .begin_response(START, unwritten.monitored.id(), owner, 60_000)
         .unwrap();
-    ahead.begin(&server, START, 2, 60_000).unwrap();
-    server.monitor.request_started(ahead.monitored.id());
+    pipelining.begin(&server, START, 2, 60_000).unwrap();
+    server.monitor.request_started(pipelining.monitored.id());
     (1..200).for_each(|tick| server.monitor.tick(START + tick * 50 * MS, 1.0));
     assert!(!server
         .monitor
         .abort_one_for_connection_slot(START + 10_000 * MS));
-    assert_eq!((fresh.aborts(), ahead.aborts()), (0, 0));
-    fresh.write(1);
+    assert_eq!((unwritten.aborts(), pipelining.aborts()), (0, 0));
+    unwritten.write(1);
     (200..220).for_each(|tick| server.monitor.tick(START + tick * 50 * MS, 1.0));
-    assert_eq!((fresh.aborts(), ahead.aborts()), (1, 0));
+    assert_eq!((unwritten.aborts(), pipelining.aborts()), (1, 0));
 }
 
 #[test]
-fn response_beyond_the_limit_aborts_the_worst_offender_or_is_rejected() {
+fn response_beyond_the_limit_aborts_the_worst_connection_or_is_rejected() {
     let settings = Settings {
         waiting: Some(Size(128 << 10)),
         ..Settings::default()
@@ -272,16 +270,16 @@
         ..Default::default()
     };
     let server = server(Settings::default(), bulkheads);
-    let mut all: Vec<ConnectionPair> = (0..5).map(|_| server.connect(START)).collect();
-    let placed: Vec<bool> = all.iter().map(|pair| pair.monitored.has_slot()).collect();
-    assert_eq!(placed, [true, true, true, true, false]);
-    // Two stop reading and are aborted; the slots that they leave are not given to the same network again at once.
-    for pair in &mut all[..2] {
+    let mut pairs: Vec<ConnectionPair> = (0..5).map(|_| server.connect(START)).collect();
+    let has_slot: Vec<bool> = pairs.iter().map(|pair| pair.monitored.has_slot()).collect();
+    assert_eq!(has_slot, [true, true, true, true, false]);
+    // Two clients stop reading and are aborted. Their slots are withheld from the network for the penalty time.
+    for pair in &mut pairs[..2] {
         pair.begin(&server, START, 1, 40_000).unwrap();
     }
     (1..60).for_each(|tick| server.monitor.tick(START + tick * 50 * MS, 0.0));
-    assert_eq!(all.iter().map(ConnectionPair::aborts).sum::<usize>(), 2);
-    all.drain(..2);
+    assert_eq!(pairs.iter().map(ConnectionPair::aborts).sum::<usize>(), 2);
+    pairs.drain(..2);
     assert!(!server.connect(START + 3_000 * MS).monitored.has_slot());
     (60..180).for_each(|tick| server.monitor.tick(START + tick * 50 * MS, 0.0));
     assert!(server.connect(START + 9_000 * MS).monitored.has_slot());
