--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -1,4 +1,4 @@
-//! The faults that are in force, in a file that the test and the daemon both map.
+//! The current faults, in a file that both the test and the daemon map into memory.
 
 use std::fs::File;
 use std::io;
@@ -7,26 +7,27 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::OnceLock;
 
-/// The environment variable that names the control file.
+/// Environment variable with the path of the control file.
 pub const CONTROL_VARIABLE: &str = "APPLEWALL_FAULT_SHIM";
-/// Bytes of the file: one page.
+/// Size of the control file in bytes: one page.
 const FILE_BYTES: usize = 4096;
 
-/// One setting of the control file, by its place there.
+/// A fault. Its value is at this index in the control file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nanoseconds that the wall clock is ahead.
+    /// Offset of the wall clock, in nanoseconds.
     WallClockOffsetNs,
-    /// The error of writing, syncing and renaming files of the state folder; 0 for none.
+    /// `errno` of calls that write, sync or rename state files; 0 for none.
     FileError,
-    /// One in so many calls of accept fails; 0 for none.
+    /// Every `n`th call of `accept4` fails, where `n` is the value; 0 for none.
     AcceptFailsOneIn,
-    /// The same for connect.
+    /// The same for `connect`.
     ConnectFailsOneIn,
-    /// The same for socket.
+    /// The same for `socket`.
     SocketFailsOneIn,
 }
 
+/// The mapped control file: an array of values, indexed by [`Fault`].
 struct Mapping(*const AtomicI64);
 
 // SAFETY: the mapping lives as long as the process and is accessed through atomics only.
@@ -35,8 +36,8 @@
 unsafe impl Sync for Mapping {}
 
 impl Mapping {
-    fn of(file: &File) -> io::Result<Self> {
-        // SAFETY: a shared mapping of a file of this length, which nothing unmaps.
+    fn new(file: &File) -> io::Result<Self> {
+        // SAFETY: the file has this length, and the new shared mapping is never unmapped.
         let address = unsafe {
             libc::mmap(
                 std::ptr::null_mut(),
@@ -53,43 +54,43 @@
         Ok(Mapping(address.cast()))
     }
 
-    fn cell(&self, fault: Fault) -> &AtomicI64 {
-        // SAFETY: the page holds more cells than there are faults.
+    fn value(&self, fault: Fault) -> &AtomicI64 {
+        // SAFETY: the page has more values than there are faults.
         unsafe { &*self.0.add(fault as usize) }
     }
 }
 
-/// The test's side of the faults.
+/// The control file, as tests use it.
 pub struct ControlFile(Mapping);
 
 impl ControlFile {
-    /// A new file at `path` without any fault.
+    /// Creates a control file at `path` without faults.
     ///
     /// # Errors
     ///
-    /// The file can't be made or mapped.
+    /// Returns an error if the file cannot be created or mapped.
     pub fn create(path: &Path) -> io::Result<Self> {
         let mut options = File::options();
         let file = options.read(true).write(true).create(true).open(path)?;
         file.set_len(FILE_BYTES as u64)?;
-        Ok(ControlFile(Mapping::of(&file)?))
+        Ok(ControlFile(Mapping::new(&file)?))
     }
 
-    /// Puts a fault in force, from the daemon's next call on.
+    /// Sets the value of a fault. It takes effect at the daemon's next call.
     pub fn set(&self, fault: Fault, value: i64) {
-        self.0.cell(fault).store(value, Ordering::SeqCst);
+        self.0.value(fault).store(value, Ordering::SeqCst);
     }
 }
 
-/// The daemon's side: a setting as it is now; 0 without a control file.
-pub(crate) fn value(fault: Fault) -> i64 {
+/// Returns the current value of a fault, as the daemon reads it; 0 without a control file.
+pub(crate) fn current_value(fault: Fault) -> i64 {
     static MAPPING: OnceLock<Option<Mapping>> = OnceLock::new();
     let mapping = MAPPING.get_or_init(|| {
         let path = std::env::var_os(CONTROL_VARIABLE)?;
         let file = File::options().read(true).write(true).open(path).ok()?;
-        Mapping::of(&file).ok()
+        Mapping::new(&file).ok()
     });
     mapping
         .as_ref()
-        .map_or(0, |mapping| mapping.cell(fault).load(Ordering::SeqCst))
+        .map_or(0, |mapping| mapping.value(fault).load(Ordering::SeqCst))
 }
--- a/crates/fault-shim/src/interposed.rs
+++ b/crates/fault-shim/src/interposed.rs
@@ -1,4 +1,4 @@
-//! The functions of the C library that are replaced. Each does what the system's own does, unless a fault is in force.
+//! Replacements of C library functions. Each calls the original function unless a fault is set.
 
 #![expect(unreachable_pub, reason = "the dynamic linker finds these by name")]
 
@@ -6,10 +6,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::OnceLock;
 
-use crate::control::{value, Fault};
+use crate::control::{current_value, Fault};
 
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
-/// Errors of accept, connect and socket, each in its turn.
+/// Injected errors of `accept4`, used in turn.
 const ACCEPT_ERRORS: [c_int; 5] = [
     libc::ECONNABORTED,
     libc::ENFILE,
@@ -17,73 +17,77 @@
     libc::EMFILE,
     libc::EINTR,
 ];
+/// Injected errors of `connect`, used in turn.
 const CONNECT_ERRORS: [c_int; 3] = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EHOSTUNREACH];
+/// Injected errors of `socket`, used in turn.
 const SOCKET_ERRORS: [c_int; 3] = [libc::ENFILE, libc::ENOBUFS, libc::EMFILE];
 /// Prefix of the names of state files.
-const STATE_FILE_MARK: &[u8] = b"applewall-";
+const STATE_FILE_PREFIX: &[u8] = b"applewall-";
 
-/// The system's own function of this name, looked up once.
+/// The original function of this name, looked up once.
 macro_rules! original {
     ($name:literal, $type:ty) => {{
         static ADDRESS: OnceLock<usize> = OnceLock::new();
         let address = *ADDRESS.get_or_init(|| {
             let name: &CStr = $name;
-            // A look-up by name; each caller is unsafe itself.
+            // The macro expands only inside unsafe blocks.
             libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) as usize
         });
-        // The C library has a function of this name and type.
+        // `$type` is the type of the C library's function of this name.
         std::mem::transmute::<usize, $type>(address)
     }};
 }
 
+/// Sets `errno` and returns -1, as a failed system call does.
 fn fail(error: c_int) -> c_int {
-    // SAFETY: errno of this thread.
+    // SAFETY: the pointer to `errno` of this thread is always valid.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// The error of this call, where it is the one of `value(fault)` calls that fails.
-fn failure(fault: Fault, calls: &AtomicUsize, errors: &[c_int]) -> Option<c_int> {
-    let one_in = usize::try_from(value(fault))
+/// Counts a call, and returns the error to inject if this is a call that has to fail: every `n`th one, where `n` is the
+/// value of the fault.
+fn injected_error(fault: Fault, calls: &AtomicUsize, errors: &[c_int]) -> Option<c_int> {
+    let interval = usize::try_from(current_value(fault))
         .ok()
-        .filter(|one_in| *one_in > 0)?;
+        .filter(|interval| *interval > 0)?;
     let call = calls.fetch_add(1, Ordering::Relaxed) + 1;
-    call.is_multiple_of(one_in)
-        .then(|| errors[call / one_in % errors.len()])
+    call.is_multiple_of(interval)
+        .then(|| errors[call / interval % errors.len()])
 }
 
-/// The wall clock, ahead by the offset; all other clocks as they are.
+/// Adds the offset to the wall clock. Other clocks are unchanged.
 ///
 /// # Safety
 ///
-/// As of clock_gettime(2).
+/// See clock_gettime(2).
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> c_int {
     type Function = unsafe extern "C" fn(libc::clockid_t, *mut libc::timespec) -> c_int;
     let result = unsafe { original!(c"clock_gettime", Function)(clock, time) };
     if clock == libc::CLOCK_REALTIME && result == 0 {
         let time = unsafe { &mut *time };
-        let stepped = time.tv_sec * NANOS_PER_SECOND + time.tv_nsec + offset();
+        let stepped = time.tv_sec * NANOS_PER_SECOND + time.tv_nsec + wall_clock_offset_ns();
         time.tv_sec = stepped.div_euclid(NANOS_PER_SECOND);
         time.tv_nsec = stepped.rem_euclid(NANOS_PER_SECOND);
     }
     result
 }
 
-fn offset() -> i64 {
-    value(Fault::WallClockOffsetNs)
+fn wall_clock_offset_ns() -> i64 {
+    current_value(Fault::WallClockOffsetNs)
 }
 
-/// Fails to write what is a state file's, after half of it.
+/// On state files, writes only half of the bytes, and fails once no more than one byte is left.
 ///
 /// # Safety
 ///
-/// As of write(2).
+/// See write(2).
 #[no_mangle]
 pub unsafe extern "C" fn write(file: c_int, bytes: *const c_void, length: usize) -> isize {
     type Function = unsafe extern "C" fn(c_int, *const c_void, usize) -> isize;
     let original = unsafe { original!(c"write", Function) };
-    let error = value(Fault::FileError) as c_int;
+    let error = current_value(Fault::FileError) as c_int;
     if error == 0 || !is_state_file(file) {
         return unsafe { original(file, bytes, length) };
     }
@@ -93,30 +97,30 @@
     fail(error) as isize
 }
 
-/// Fails to sync a state file.
+/// Fails on state files.
 ///
 /// # Safety
 ///
-/// As of fsync(2).
+/// See fsync(2).
 #[no_mangle]
 pub unsafe extern "C" fn fsync(file: c_int) -> c_int {
     type Function = unsafe extern "C" fn(c_int) -> c_int;
-    let error = value(Fault::FileError) as c_int;
+    let error = current_value(Fault::FileError) as c_int;
     if error != 0 && is_state_file(file) {
         return fail(error);
     }
     unsafe { original!(c"fsync", Function)(file) }
 }
 
-/// Fails to rename a state file.
+/// Fails if the new name is that of a state file.
 ///
 /// # Safety
 ///
-/// As of rename(2).
+/// See rename(2).
 #[no_mangle]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     type Function = unsafe extern "C" fn(*const c_char, *const c_char) -> c_int;
-    let error = value(Fault::FileError) as c_int;
+    let error = current_value(Fault::FileError) as c_int;
     let is_state = unsafe { CStr::from_ptr(to) }
         .to_bytes()
         .ends_with(b".state");
@@ -126,11 +130,11 @@
     unsafe { original!(c"rename", Function)(from, to) }
 }
 
-/// Fails once in so many times, with errors that accept(2) lists.
+/// Fails every `n`th time, as set, with errors that accept(2) lists.
 ///
 /// # Safety
 ///
-/// As of accept4(2).
+/// See accept4(2).
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     socket: c_int,
@@ -141,17 +145,17 @@
     type Function =
         unsafe extern "C" fn(c_int, *mut libc::sockaddr, *mut libc::socklen_t, c_int) -> c_int;
     static CALLS: AtomicUsize = AtomicUsize::new(0);
-    if let Some(error) = failure(Fault::AcceptFailsOneIn, &CALLS, &ACCEPT_ERRORS) {
+    if let Some(error) = injected_error(Fault::AcceptFailsOneIn, &CALLS, &ACCEPT_ERRORS) {
         return fail(error);
     }
     unsafe { original!(c"accept4", Function)(socket, address, length, flags) }
 }
 
-/// Fails once in so many times, with errors that connect(2) lists.
+/// Fails every `n`th time, as set, with errors that connect(2) lists.
 ///
 /// # Safety
 ///
-/// As of connect(2).
+/// See connect(2).
 #[no_mangle]
 pub unsafe extern "C" fn connect(
     socket: c_int,
@@ -160,32 +164,32 @@
 ) -> c_int {
     type Function = unsafe extern "C" fn(c_int, *const libc::sockaddr, libc::socklen_t) -> c_int;
     static CALLS: AtomicUsize = AtomicUsize::new(0);
-    if let Some(error) = failure(Fault::ConnectFailsOneIn, &CALLS, &CONNECT_ERRORS) {
+    if let Some(error) = injected_error(Fault::ConnectFailsOneIn, &CALLS, &CONNECT_ERRORS) {
         return fail(error);
     }
     unsafe { original!(c"connect", Function)(socket, address, length) }
 }
 
-/// Fails once in so many times, with errors that socket(2) lists.
+/// Fails every `n`th time, as set, with errors that socket(2) lists.
 ///
 /// # Safety
 ///
-/// As of socket(2).
+/// See socket(2).
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     type Function = unsafe extern "C" fn(c_int, c_int, c_int) -> c_int;
     static CALLS: AtomicUsize = AtomicUsize::new(0);
-    if let Some(error) = failure(Fault::SocketFailsOneIn, &CALLS, &SOCKET_ERRORS) {
+    if let Some(error) = injected_error(Fault::SocketFailsOneIn, &CALLS, &SOCKET_ERRORS) {
         return fail(error);
     }
     unsafe { original!(c"socket", Function)(domain, kind, protocol) }
 }
 
-/// True for a descriptor of a file whose name is that of the daemon's state.
+/// Returns true if a descriptor refers to a file whose name begins with [`STATE_FILE_PREFIX`].
 fn is_state_file(file: c_int) -> bool {
     let link = format!("/proc/self/fd/{file}\0");
     let mut target = [0_u8; libc::PATH_MAX as usize];
-    // SAFETY: a path that ends in a zero, and a buffer of this length.
+    // SAFETY: the path is terminated by a zero byte, and the buffer has the given length.
     let length = unsafe {
         libc::readlink(
             link.as_ptr().cast(),
@@ -195,5 +199,5 @@
     };
     let target = &target[..usize::try_from(length).unwrap_or(0)];
     let name = target.rsplit(|byte| *byte == b'/').next().unwrap_or(target);
-    name.starts_with(STATE_FILE_MARK)
+    name.starts_with(STATE_FILE_PREFIX)
 }
