--- a/crates/slow-peer/src/settings.rs
+++ b/crates/slow-peer/src/settings.rs
@@ -10,7 +10,8 @@
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Settings {
-    /// Enables slow-peer protection. If off, the other keys of this section have no effect.
+    /// Enables slow-peer protection. If off, the other keys of this section have no effect, except that those for outgoing
+    /// responses still apply while `[bulkheads]` is enabled.
     pub enabled: EnabledFlag,
     /// Interval between checks of the outgoing responses.
     #[garde(dive, custom(duration_between(10, 1_000)))]
@@ -21,15 +22,15 @@
     /// Age from which an outgoing response has to reach the minimum data rate.
     #[garde(dive)]
     pub grace: DurationSetting,
-    /// The same while resources have to be freed: then the worst of the slow connections are aborted first. The rate is
-    /// measured over this time too, so it should be longer than the round trip to distant clients.
+    /// The same while resources have to be freed, which aborts the worst of the slow connections first. The rate is then
+    /// also measured over this time, so it should be longer than the round trip to distant clients.
     #[garde(dive)]
     pub room_grace: DurationSetting,
     /// Minimum data rate of an outgoing response while no resource is scarce.
     pub out_least: Size,
-    /// Minimum data rate while all connection slots or all unsent bytes are in use. It rises linearly up to this.
+    /// Minimum data rate while all connection slots are in use or `waiting` is reached. The rate rises linearly up to this.
     pub out_least_full: Size,
-    /// Fraction of connection slots or of unsent bytes in use from which the minimum data rate rises.
+    /// Fraction of the connection slots or of `waiting` in use from which the minimum data rate rises.
     #[garde(range(min = 0.0, max = 0.99))]
     #[serde(deserialize_with = "number")]
     pub pressure_from: f64,
