--- a/crates/slow-peer/src/outgoing.rs
+++ b/crates/slow-peer/src/outgoing.rs
@@ -66,8 +66,8 @@
             }
         };
         let minimum_rate = MinimumDataRate::new(
-            settings.out_least.0 as f64,
-            settings.out_least_full.0 as f64,
+            settings.min_outgoing_bytes_per_second.0 as f64,
+            settings.min_outgoing_bytes_per_second_at_full_pressure.0 as f64,
             settings.pressure_from,
         );
         OutgoingTransfers {
--- a/crates/slow-peer/src/settings.rs
+++ b/crates/slow-peer/src/settings.rs
@@ -5,13 +5,17 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 
+// A field with a `garde` rule has the name of its key, since garde reports a rejected value by the name of the field and
+// ignores `#[garde(rename)]` (version 0.23).
+
 /// `[pace]`: minimum data rates and limits on unsent bytes. Rates are in bytes per second.
 #[derive(Clone, Debug, Deserialize, Validate, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Settings {
-    /// Enables slow-peer protection. If off, the other keys of this section have no effect, except that those for outgoing
-    /// responses still apply while `[bulkheads]` is enabled.
+    /// Enables slow-peer protection. If off, the other keys of this section have no effect, except while `[bulkheads]` is
+    /// enabled: then `tick`, `window`, `grace`, `room_grace`, `out_least`, `out_least_full`, `pressure_from` and `waiting`
+    /// still apply.
     pub enabled: EnabledFlag,
     /// Interval between checks of the outgoing responses.
     #[garde(dive, custom(duration_between(10, 1_000)))]
@@ -19,22 +23,27 @@
     /// Sliding window over which the rate of an outgoing response is measured.
     #[garde(dive, custom(duration_between(100, 60_000)))]
     pub window: DurationSetting,
-    /// Age from which an outgoing response has to reach the minimum data rate.
+    /// Age from which an outgoing response is aborted if its data rate is below the minimum.
     #[garde(dive)]
     pub grace: DurationSetting,
-    /// The same while resources have to be freed, which aborts the worst of the slow connections first. The rate is then
-    /// also measured over this time, so it should be longer than the round trip to distant clients.
+    /// Age from which a slow outgoing response may be aborted because connection slots or unsent bytes have to be freed. Its
+    /// data rate is then also measured over this time, so it should be longer than the round trip to distant clients. A
+    /// stalled response may be aborted earlier.
     #[garde(dive)]
     pub room_grace: DurationSetting,
-    /// Minimum data rate of an outgoing response while no resource is scarce.
-    pub out_least: Size,
-    /// Minimum data rate while all connection slots are in use or `waiting` is reached. The rate rises linearly up to this.
-    pub out_least_full: Size,
-    /// Fraction of the connection slots or of `waiting` in use from which the minimum data rate rises.
+    /// Minimum data rate of an outgoing response, in bytes per second, up to the utilization in `pressure_from`.
+    #[serde(rename = "out_least")]
+    pub min_outgoing_bytes_per_second: Size,
+    /// Minimum data rate of an outgoing response, in bytes per second, while all connection slots are in use or `waiting` is
+    /// reached. The minimum rises linearly from `out_least` to this value, and a value below `out_least` counts as
+    /// `out_least`. While resources have to be freed, this minimum applies to all connections.
+    #[serde(rename = "out_least_full")]
+    pub min_outgoing_bytes_per_second_at_full_pressure: Size,
+    /// Fraction of the connection slots or of `waiting`, whichever is used more, from which the minimum data rate rises.
     #[garde(range(min = 0.0, max = 0.99))]
     #[serde(deserialize_with = "number")]
     pub pressure_from: f64,
-    /// Maximum unsent response bytes of all clients together. If not set, a fifth of the memory.
+    /// Maximum unsent response bytes of all clients together. If not set, a fifth of the memory limit of the process.
     #[garde(inner(custom(size_between(64 << 10, 1 << 40))))]
     pub waiting: Option<Size>,
     /// Size of the kernel's send buffer of a client connection. The kernel allocates twice as much, for its own bookkeeping.
@@ -43,20 +52,22 @@
     /// Unsent bytes in the kernel below which more bytes are written to a connection (`TCP_NOTSENT_LOWAT`).
     #[garde(custom(size_between(1 << 10, 16 << 20)))]
     pub not_sent: Size,
-    /// Time after its head within which a request body has to be complete.
+    /// Time within which a request body has to be complete, counted from the head of its request.
     #[garde(dive, custom(duration_between(100, 60_000)))]
     pub upload_time: DurationSetting,
-    /// Time without new bytes after which an upstream response or a request body counts as stalled.
+    /// Time without new bytes after which an upstream response or a request body counts as stalled. The head of an upstream
+    /// response has to be complete within this time from its first byte.
     #[garde(dive, custom(duration_between(20, 60_000)))]
     pub pause: DurationSetting,
-    /// Age from which an incoming transfer may be aborted for its rate.
+    /// Age from which an upstream response or a request body may be aborted as too slow.
     #[garde(dive)]
     pub forecast_after: DurationSetting,
-    /// An incoming transfer is aborted only if its rate times this factor would not complete it in time.
+    /// An upstream response or a request body is aborted as too slow only if it could not be complete in time even at its
+    /// recent data rate times this factor.
     #[garde(range(min = 1.0, max = 100.0))]
     #[serde(deserialize_with = "number")]
     pub forecast_slack: f64,
-    /// An attempt whose response is slow is aborted only while its request has at least this much time left for a retry.
+    /// An upstream response that is stalled or too slow is aborted only while at least this much time is left for a retry.
     #[garde(dive)]
     pub retry_room: DurationSetting,
 }
@@ -80,8 +91,8 @@
             window: DurationSetting::from_millis(1_000),
             grace: DurationSetting::from_millis(300),
             room_grace: DurationSetting::from_millis(200),
-            out_least: Size(1 << 10),
-            out_least_full: Size(16 << 10),
+            min_outgoing_bytes_per_second: Size(1 << 10),
+            min_outgoing_bytes_per_second_at_full_pressure: Size(16 << 10),
             pressure_from: 0.5,
             waiting: None,
             send_buffer: Size(16 << 10),
@@ -95,30 +106,32 @@
     }
 }
 
-/// `[bulkheads]`: limits on the resources that one customer or one network may use.
+/// `[bulkheads]`: limits on the resources that one customer or one network may use. A network is a range of client addresses
+/// with a common prefix. Limits on connections and requests are rounded down, but are at least 1.
 #[derive(Clone, Debug, Deserialize, Validate, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct BulkheadSettings {
     /// Enables the limits. If off, the other keys of this section have no effect.
     pub enabled: EnabledFlag,
-    /// Maximum fraction of the slots for open requests that one customer may use.
+    /// Maximum number of open requests of one customer, as a fraction of the maximum number of client connections.
     #[garde(range(min = 0.01, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub customer_places: f64,
-    /// Maximum fraction of the unsent response bytes that one customer may use.
+    /// Maximum unsent response bytes of one customer, as a fraction of `waiting` in `[pace]`.
     #[garde(range(min = 0.01, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub customer_waiting: f64,
-    /// Maximum fraction of the connection slots that one network may use.
+    /// Maximum number of client connections from one network, as a fraction of the maximum of all networks.
     #[garde(range(min = 0.01, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub peer_places: f64,
-    /// Maximum fraction of the unsent response bytes that one network may use.
+    /// Maximum unsent response bytes of one network, as a fraction of `waiting` in `[pace]`.
     #[garde(range(min = 0.01, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub peer_waiting: f64,
-    /// Time for which each connection aborted as slow takes one slot from its network. One slot always remains.
+    /// Time for which each client connection that was aborted as slow lowers the maximum number of connections from its
+    /// network by one. One connection always remains allowed.
     #[garde(dive)]
     pub distrust: DurationSetting,
     /// Prefix length of a network of IPv4 addresses, in bits.
@@ -129,7 +142,8 @@
     #[garde(range(min = 16, max = 128))]
     #[serde(deserialize_with = "number")]
     pub ipv6_prefix: u8,
-    /// Networks without limits, such as those of proxies that carry the traffic of many customers.
+    /// Networks without limits of their own, such as those of proxies that carry the traffic of many customers. The limits of
+    /// each customer apply there too.
     pub exempt: Networks,
 }
 
--- a/crates/slow-peer/tests/schedules.rs
+++ b/crates/slow-peer/tests/schedules.rs
@@ -164,7 +164,7 @@
     fn apply(&mut self, step: Step) -> Result<Aborts, TestCaseError> {
         let mut aborts = Vec::new();
         // While resources are freed, the minimum rate of full pressure applies.
-        let mut minimum = settings().out_least_full.0 as f64;
+        let mut minimum = settings().min_outgoing_bytes_per_second_at_full_pressure.0 as f64;
         match step {
             Step::Begin {
                 id,
--- a/src/daemon/config/operator/golden.rs
+++ b/src/daemon/config/operator/golden.rs
@@ -29,8 +29,14 @@
         ("pace.window", text(section.window.0)),
         ("pace.grace", text(section.grace.0)),
         ("pace.room_grace", text(section.room_grace.0)),
-        ("pace.out_least", text(section.out_least.0)),
-        ("pace.out_least_full", text(section.out_least_full.0)),
+        (
+            "pace.out_least",
+            text(section.min_outgoing_bytes_per_second.0),
+        ),
+        (
+            "pace.out_least_full",
+            text(section.min_outgoing_bytes_per_second_at_full_pressure.0),
+        ),
         ("pace.pressure_from", text(section.pressure_from)),
         ("pace.waiting", text(section.waiting.map(|size| size.0))),
         ("pace.send_buffer", text(section.send_buffer.0)),
