--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -7,34 +7,34 @@
 /// An output of the policy, which the node executes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Start the next attempt of a request. The caller numbers the attempts of a request from 0 in this order.
     StartAttempt {
-        /// The request.
+        /// A request without an attempt in flight and without a final answer.
         request: RequestId,
-        /// The endpoint.
+        /// Where to send it: an endpoint that was ready in the last update of the list.
         endpoint: EndpointId,
         /// Timeout of the attempt; `None` if it may last until the client's deadline.
         timeout_ns: Option<u64>,
     },
-    /// Stop waiting for an attempt.
+    /// Stop waiting for an attempt, because the client has disconnected.
     CancelAttempt {
-        /// The request.
+        /// A request that needs no answer any more.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0 in the order of sending.
         attempt: u32,
     },
     /// Reject the request, as its final answer. A retry by the client does no harm.
     Reject {
-        /// The request.
+        /// A request that was not executed, or whose repetition does no harm.
         request: RequestId,
-        /// Delay before a retry that the client is advised.
+        /// Delay before a retry that the client is advised; `None` for no advice. Never 0.
         retry_after_ns: Option<u64>,
     },
     /// Fail the request, as its final answer. It may have been executed.
     Fail(RequestId),
     /// Set a timer.
     SetTimer {
-        /// Time from now.
+        /// Time from the event that caused the action.
         after_ns: u64,
         /// Token passed back in [`Event::TimerExpired`](super::Event::TimerExpired).
         token: u64,
--- a/src/api/endpoint.rs
+++ b/src/api/endpoint.rs
@@ -21,19 +21,21 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its id.
+    /// Identifies the endpoint in all updates of the list, also after it was restarted.
     pub id: EndpointId,
-    /// Its size, relative to other endpoints.
+    /// Its size, relative to other endpoints; used only with
+    /// [`PolicySettings::weighted_endpoints`](super::PolicySettings::weighted_endpoints). 0 or less counts as 1.
     pub weight: f64,
-    /// When it last started; `None` if long ago.
+    /// When it last started. Without a time, it counts as started long ago, or just now if it is new in a later list
+    /// than the first.
     pub started_at_ns: Option<u64>,
-    /// Its zone.
+    /// The zone that it runs in. Attempts prefer endpoints in the node's own zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The cell that it belongs to, for idempotency keys with [`KeyScope::Cell`](super::KeyScope::Cell).
     pub cell: CellId,
-    /// Its machine type.
+    /// Its machine type, by which a large fleet learns the latencies of endpoints.
     pub machine_type: MachineTypeId,
-    /// Its state.
+    /// Whether it takes requests, according to discovery. Health is not part of it.
     pub state: EndpointState,
 }
 
@@ -42,10 +44,10 @@
 pub enum EndpointUpdateKind {
     /// The full list as last received by an earlier process, possibly stale.
     Cached,
-    /// The full list.
+    /// The full current list; endpoints that it does not contain are removed.
     Snapshot,
-    /// Changed entries only.
+    /// Changed entries only; all other endpoints stay as they are.
     Delta,
-    /// A call has failed or the watch has ended; the list stays as it was.
+    /// A call has failed or the watch has ended. The list stays as it was, and the entries are ignored.
     Failed,
 }
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -56,7 +56,8 @@
 }
 
 number_id! {
-    /// A cell: a group of endpoints that share deduplication of idempotency keys.
+    /// A cell: a group of endpoints that share deduplication of idempotency keys. The platform assigns the numbers;
+    /// -1 stands for an endpoint whose entry has none.
     CellId(i64)
 }
 
--- a/src/api/node_set.rs
+++ b/src/api/node_set.rs
@@ -5,9 +5,9 @@
 /// A contiguous range of node numbers, which wraps around at the size of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeSet {
-    /// The first node.
+    /// Start of the range; must be below the size of the fleet.
     pub first: NodeId,
-    /// Number of nodes.
+    /// Number of nodes, from 1 to the size of the fleet; [`NodeSet::clamped`] corrects other values.
     pub size: u32,
 }
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The nodes of the set, in a fleet of `node_count` nodes.
+    /// The nodes of the set from the first on, in a fleet of `node_count` nodes.
     pub fn nodes(self, node_count: u32) -> impl Iterator<Item = NodeId> {
         (0..self.size).map(move |offset| NodeId((self.first.0 + offset) % node_count))
     }
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -5,19 +5,20 @@
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Names the request in actions and events; unique among those that have no final answer yet.
     pub id: RequestId,
-    /// Its class.
+    /// Determines the latency objective, the priority weight and whether the request may be repeated.
     pub class: ClassId,
-    /// Its customer's plan.
+    /// The plan of the customer, whose limits apply to the request.
     pub plan: PlanId,
-    /// Its customer.
+    /// The customer whose quota, ceiling and concurrency limit the request counts against.
     pub customer: CustomerId,
-    /// Units that it draws from the quota, possibly an estimate.
+    /// Units that it draws from the quota and the ceiling, possibly an estimate; see
+    /// [`PolicySettings::cost_settled_after_response`](super::PolicySettings::cost_settled_after_response).
     pub units: f64,
-    /// Time until the client gives up.
+    /// Time from the arrival until the client gives up.
     pub time_left_ns: u64,
-    /// Whether the client marked it as a retry.
+    /// Whether the client marked it as a retry, whose units are not counted as demand again.
     pub is_retry: bool,
     /// The nodes through which the customer's requests arrive.
     pub nodes: NodeSet,
@@ -26,7 +27,7 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The request was served.
+    /// The endpoint executed the request and responded.
     Success,
     /// Answered with an error; possibly executed.
     Failure,
@@ -38,9 +39,10 @@
     ConnectFailed,
     /// The connection was reset or closed early; possibly executed.
     ConnectionReset,
-    /// Cancelled; possibly executed.
+    /// Cancelled by this node while it waited for the response; possibly executed.
     Cancelled,
-    /// Not sent; never executed.
+    /// Not sent for a reason that applies to further attempts as well, such as an expired deadline; never executed. The
+    /// policy sends no further attempt.
     NotSent,
     /// Not sent for a reason that need not affect another attempt, such as the endpoint starting to drain; never
     /// executed.
@@ -69,23 +71,23 @@
     }
 }
 
-/// The result of an attempt.
+/// How an attempt ended, and what its response says.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// Number of the attempt, from 0 in the order of sending.
     pub attempt: u32,
-    /// The endpoint.
+    /// The endpoint to which it was sent, as in [`Action::StartAttempt`](super::Action::StartAttempt).
     pub endpoint: EndpointId,
-    /// How the attempt ended.
+    /// What the end of the attempt proves about the endpoint and about the request's execution.
     pub outcome: Outcome,
     /// Time since the attempt was sent.
     pub latency_ns: u64,
-    /// Whether the request needs no further answer.
+    /// Whether the request needs no further answer, because it has one or its client has disconnected.
     pub request_complete: bool,
     /// Actual units according to the response, if they replace an estimate.
     pub settled_units: Option<f64>,
-    /// Load report, in the order of the settings' fields; may be empty.
+    /// Load report, in the order of the settings' fields; empty if there is none. The policy does not use it.
     pub load_report: Vec<f64>,
 }
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -2,13 +2,13 @@
 
 use super::{ClassId, Endpoint, NodeId, PlanId, ZoneId};
 
-/// Minimum burst that levels are computed with, so that a plan without a quota causes no division by zero.
+/// Minimum divisor of a quota's level, so that a plan without a quota causes no division by zero.
 const MIN_QUOTA_BURST_UNITS: f64 = 1e-9;
 
 /// Endpoints that recognize the idempotency key of a request that another endpoint has executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All endpoints.
+    /// Every endpoint of the list recognizes it.
     All,
     /// Endpoints in the same zone.
     Zone,
@@ -62,20 +62,22 @@
     }
 }
 
-/// A class of requests.
+/// A class of requests, which have the same latency objective, priority weight and idempotency.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Latency within which a response earns its full weight.
     pub latency_objective_ns: u64,
-    /// Time after which the client gives up.
+    /// Longest time that a client waits for a response. The policy does not use it: the caller limits
+    /// [`Request::time_left_ns`](super::Request::time_left_ns) to it.
     pub deadline_ns: u64,
-    /// Priority weight of a request.
+    /// Priority weight of a request per unit, before the plan's multiplier. Relative to the other classes.
     pub priority_weight: f64,
-    /// Fraction of the weight that a response past the objective earns.
+    /// Fraction of the weight that a response past the objective earns. The policy does not use it.
     pub late_weight_fraction: f64,
     /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
-    /// Whether the response is a stream.
+    /// Whether the response is a stream. The policy learns that from
+    /// [`Event::ResponseStarted`](super::Event::ResponseStarted) instead.
     pub streaming: bool,
 }
 
@@ -88,7 +90,7 @@
     pub quota_burst_units: f64,
     /// Maximum number of a customer's requests in flight; `None` for no limit.
     pub max_concurrency: Option<u32>,
-    /// Multiplier of the priority weight.
+    /// Multiplier of the class's priority weight for the customers of this plan.
     pub weight_multiplier: f64,
     /// Fraction of the weight that a request beyond the quota earns.
     pub over_quota_weight_fraction: f64,
@@ -122,9 +124,9 @@
 /// A value in an endpoint's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
-    /// Processor utilization.
+    /// Processor utilization of the endpoint.
     Utilization,
-    /// Requests in flight.
+    /// Requests in flight at the endpoint.
     InFlight,
     /// A value that this version does not use.
     Other,
@@ -133,11 +135,11 @@
 /// Settings of the policy of one node.
 #[derive(Clone, Debug, Default)]
 pub struct PolicySettings {
-    /// This node.
+    /// Number of this node, from 0 to below [`node_count`](Self::node_count).
     pub node: NodeId,
-    /// Number of nodes in the fleet.
+    /// Number of nodes in the fleet, this one included.
     pub node_count: u32,
-    /// This node's zone.
+    /// The zone that this node runs in, whose endpoints it prefers.
     pub zone: ZoneId,
     /// Classes, referred to by [`Request::class`](super::Request::class).
     pub classes: Vec<Class>,
@@ -145,11 +147,11 @@
     pub plans: Vec<Plan>,
     /// Whether the endpoint list has to be watched; otherwise it is pushed.
     pub watch_endpoints: bool,
-    /// Number of machine types.
+    /// Number of machine types of which latencies are learned; 0 counts as 1.
     pub machine_type_count: u32,
-    /// Whether [`Endpoint::weight`] is the size of an endpoint.
+    /// Whether [`Endpoint::weight`] is the size of an endpoint; otherwise all endpoints count as equally large.
     pub weighted_endpoints: bool,
-    /// Values of a load report, in order.
+    /// Meaning of each value in [`AttemptResult::load_report`](super::AttemptResult::load_report).
     pub load_report_fields: Vec<LoadField>,
     /// Fraction of its capacity that an endpoint has when it starts.
     pub slow_start_fraction: f64,
@@ -159,21 +161,21 @@
     pub overload_multiple: f64,
     /// Window over which that multiple is counted.
     pub overload_window_ns: u64,
-    /// Maximum number of attempts of a request.
+    /// Maximum number of attempts of a request, the first one included.
     pub max_attempts: u32,
     /// Longest advised retry delay that a client obeys; `None` if clients are advised none.
     pub max_retry_after_ns: Option<u64>,
     /// Whether nodes may send each other messages.
     pub gossip_enabled: bool,
-    /// Whether a request may have two attempts in flight (hedging).
+    /// Whether a request may have two attempts in flight (hedging). The policy never sends hedged requests.
     pub hedging_allowed: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether attempts may be cancelled when their client has disconnected.
     pub cancellation_allowed: bool,
     /// Maximum number of messages per second that a node receives.
     pub gossip_messages_per_second: f64,
-    /// Whether a request's units are an estimate that the first successful response replaces.
+    /// Whether a request's units are an estimate that the units reported by its response replace.
     pub cost_settled_after_response: bool,
-    /// Units of the largest request.
+    /// Units of the largest request that clients may send.
     pub max_request_units: f64,
 }
 
--- a/src/gossip/codec.rs
+++ b/src/gossip/codec.rs
@@ -1,8 +1,8 @@
 //! Encoding of gossip messages.
 //!
-//! A message is one character for its kind, four digits for the sender's incarnation, and records of fixed width, all
-//! in base64. The kind also identifies the version of the encoding: a node ignores messages of a kind that it does
-//! not know.
+//! A message is one character for its kind, four base64 digits for the sender's incarnation, and records of fixed
+//! width, in base64 digits as well. The kind also identifies the version of the encoding: a node ignores messages of a
+//! kind that it does not know.
 
 use crate::api::{NodeId, NodeSet, PlanId};
 use crate::decision::hashing::CustomerFingerprint;
@@ -28,15 +28,15 @@
 const COUNT_DIGITS: usize = 2;
 /// Number of counts in load statistics.
 const COUNTS: usize = 9;
-/// Difference between the fractions of consecutive codes; levels from -1 to 1 have twice this step.
+/// Difference between the fractions of consecutive codes of one digit; levels from -1 to 1 have twice this step.
 const FRACTION_STEP: f64 = 1.0 / 63.0;
 
-/// A record of a message.
+/// A record and the customer that it belongs to. A message consists of records of one kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CustomerRecord {
     /// The customer; [`CustomerRecord::NO_CUSTOMER`] with load statistics.
     pub customer: CustomerFingerprint,
-    /// The contents.
+    /// What the sender reports or grants. Its variant determines the kind of the message.
     pub record: Record,
 }
 
@@ -45,25 +45,25 @@
     pub const NO_CUSTOMER: CustomerFingerprint = CustomerFingerprint(0);
 }
 
-/// The contents of a record.
+/// The information in a record, with one variant for each kind of message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Record {
     /// A customer's usage through the sender.
     Usage(UsageReport),
     /// A customer's usage over all its nodes, as summed by an aggregator.
     Aggregate(AggregateUpdate),
-    /// Units of the ceiling that the sender grants.
+    /// Units of the customer's ceiling that the sender gives up for the receiver; sent in steps of 1/4 unit.
     Grant(f64),
     /// A fraction of the sender's pooled load statistics.
     Statistics(LoadStatistics),
 }
 
-/// A decoded message.
+/// A gossip message from one node to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// The sender's incarnation.
+    /// Random 24-bit number of the sending process. When it changes, the totals in the sender's reports begin at 0.
     pub incarnation: u32,
-    /// Its records, all of one kind.
+    /// Records, all of one kind; may be empty.
     pub records: Vec<CustomerRecord>,
 }
 
@@ -117,7 +117,7 @@
 
 /// A logarithmic scale of codes; code 0 stands for 0.
 struct LogScale {
-    /// The value of code 1.
+    /// Value of code 1; lower ones are encoded as 0.
     lowest: f64,
     /// Ratio of the values of consecutive codes.
     step: f64,
@@ -125,7 +125,7 @@
     codes: u32,
 }
 
-/// Scale of rates: one digit.
+/// Scale of demands, in units per second: one digit, up to about 1700.
 const RATE_SCALE: LogScale = LogScale {
     lowest: 0.1,
     step: 1.17,
@@ -223,7 +223,8 @@
     }
 }
 
-/// Encodes records, all of one kind, into as many messages as they need; no records make one empty message.
+/// Encodes records, all of one kind, into as many messages as they need. Without records, the result is one usage
+/// message that has none.
 pub fn encode(incarnation: u32, records: &[CustomerRecord]) -> Vec<String> {
     let kind = records
         .first()
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,11 +1,11 @@
 //! Gossip: the messages that nodes exchange about quotas, ceilings and load, within each node's receive limit.
 //!
-//! [`codec`] encodes the messages. If every node can report to all others often enough, it does so. In a larger
-//! fleet, a customer has a few aggregators, determined by rendezvous hashing, which sum its usage. Each request is
-//! reported to the first aggregator at once. An aggregator sends the aggregate to the customer's nodes when the quota
-//! runs short, and to a single peer whose estimate is inaccurate. The owners of the state ([`crate::decision`]'s
-//! quota ledger and overload control) decide what is due and apply received records; this module encodes, addresses
-//! and dispatches messages.
+//! [`codec`] encodes the messages. If all nodes of a customer can report its usage to each other often enough, they do.
+//! Otherwise the customer has a few aggregators, determined by rendezvous hashing, which sum its usage. Each request is
+//! reported to the first aggregator as soon as the receive limit allows it. An aggregator sends the aggregate to the
+//! customer's nodes when the quota runs short. The first one also sends it to a single peer whose estimate is
+//! inaccurate, in reply to a report. The owners of the state ([`crate::decision`]'s quota ledger and overload control)
+//! decide what is due and apply received records; this module encodes, addresses and dispatches messages.
 
 pub mod codec;
 mod receiving;
@@ -24,11 +24,12 @@
 
 /// The incarnations of this process and its peers, and the schedule of gossip rounds.
 pub(crate) struct Gossip {
-    /// Drawn at the start. A change tells peers that this process's totals begin again.
+    /// Random number of this process, below [`INCARNATIONS`]. By a new one, peers notice that the process was
+    /// restarted and its totals begin at 0.
     incarnation: u32,
     /// The last incarnation received from each peer.
     peer_incarnations: BTreeMap<NodeId, u32>,
-    /// When the next round of load statistics and grants is sent.
+    /// From when on the next round of load statistics and grants is due.
     next_round_at: Timestamp,
 }
 
@@ -44,17 +45,15 @@
         }
     }
 
-    /// This process's incarnation.
     pub(crate) fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// The last incarnation received from each peer.
     pub(crate) fn peer_incarnations(&self) -> &BTreeMap<NodeId, u32> {
         &self.peer_incarnations
     }
 
-    /// Takes over the incarnation of another process, so that its totals continue.
+    /// Takes over the incarnation of another process, whose totals this process continues.
     pub(crate) fn take_over(&mut self, incarnation: u32, peer_incarnations: BTreeMap<NodeId, u32>) {
         self.incarnation = incarnation;
         self.peer_incarnations = peer_incarnations;
--- a/src/gossip/receiving.rs
+++ b/src/gossip/receiving.rs
@@ -1,4 +1,4 @@
-//! Receiving: validation of messages and dispatch of their records.
+//! Receiving: validation of messages and application of their records.
 
 use super::codec::{self, CustomerRecord, Message, Record};
 use super::Gossip;
@@ -8,7 +8,7 @@
 
 impl Gossip {
     /// Decodes a message; `None` if any part is malformed or the sender is not a peer. The first message of a peer
-    /// after its restart resets the totals that are known of it.
+    /// after its restart resets its known totals.
     pub(crate) fn accept(
         &mut self,
         context: &Context<'_>,
@@ -26,7 +26,8 @@
         Some(message)
     }
 
-    /// Passes a peer's record of a customer to the ledger, and sends the reply to a report.
+    /// Passes a peer's record of a customer to the ledger, and sends the reply to a report, if any. Load statistics
+    /// are ignored here, since they belong to no customer.
     pub(crate) fn receive_customer_record(
         &self,
         context: &mut Context<'_>,
--- a/src/gossip/sending.rs
+++ b/src/gossip/sending.rs
@@ -33,8 +33,9 @@
         }
     }
 
-    /// Sends a customer's aggregate if this node is its aggregator and one is due. `latency`: latency of a request,
-    /// including queueing.
+    /// Sends a customer's aggregate to its other nodes if this node is its aggregator and one is due.
+    ///
+    /// `latency`: expected latency of a request, including queueing.
     pub(crate) fn send_due_aggregate(
         &self,
         context: &Context<'_>,
@@ -92,7 +93,7 @@
         self.send(peer, &[CustomerRecord { customer, record }], actions);
     }
 
-    /// Appends the actions that send records to one peer.
+    /// Appends the actions that send records of one kind to one peer, one for each message.
     fn send(&self, peer: NodeId, records: &[CustomerRecord], actions: &mut Vec<Action>) {
         let texts = codec::encode(self.incarnation, records);
         actions.extend(texts.into_iter().map(|text| Action::SendGossip {
--- a/src/platform_settings/mod.rs
+++ b/src/platform_settings/mod.rs
@@ -22,7 +22,7 @@
 /// The reason why a settings object cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// A key is missing, or its value has the wrong type.
+    /// A key is missing, or its value has the wrong type or is out of range.
     #[error("settings: {0}")]
     Malformed(#[from] serde_json::Error),
     /// A class has an unknown scope of its idempotency keys.
@@ -36,13 +36,14 @@
 /// The platform's settings of one node, and the ids of the names that requests and endpoint lists use.
 #[derive(Debug)]
 pub struct PlatformSettings {
-    /// Settings of the decision policy.
+    /// The part of the settings that the decision policy uses.
     pub policy: PolicySettings,
-    /// Time after which an idle connection to an endpoint is closed.
+    /// Time after which endpoints close an idle connection; 10 s if the platform sets none.
     pub idle_connection_timeout_ns: u64,
-    /// Timeout for establishing a connection.
+    /// Timeout for establishing a connection to an endpoint; 0.5 s if the platform sets none.
     pub connect_timeout_ns: u64,
-    /// Time after the notice of a drain within which the endpoint must no longer be sent attempts.
+    /// Time after an endpoint begins to drain within which this node must stop sending it attempts; 0.5 s if the
+    /// platform sets none.
     pub drain_notice_ns: u64,
     classes: HashMap<String, ClassId>,
     plans: HashMap<String, PlanId>,
@@ -70,12 +71,12 @@
         })
     }
 
-    /// The class with this name.
+    /// The class with this name, as requests give it; `None` if the settings have no such class.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.get(name).copied()
     }
 
-    /// The plan with this name.
+    /// The plan with this name, as requests give it; `None` if the settings have no such plan.
     pub fn plan(&self, name: &str) -> Option<PlanId> {
         self.plans.get(name).copied()
     }
@@ -92,7 +93,7 @@
         names.into_iter().map(|(name, _)| name.clone()).collect()
     }
 
-    /// The zone of an endpoint; an unknown name maps to a zone that matches no node's.
+    /// The zone with this name, as endpoint lists give it; an unknown name maps to a zone that matches no node's.
     pub fn zone(&self, name: &str) -> ZoneId {
         self.zones
             .get(name)
--- a/src/platform_settings/schema.rs
+++ b/src/platform_settings/schema.rs
@@ -1,4 +1,5 @@
-//! Structure of the settings object, with the keys and defaults that the platform specifies.
+//! Structure of the settings object, with the keys and defaults that the platform specifies. The fields are documented
+//! at their counterparts in [`crate::api`] and [`PlatformSettings`](super::PlatformSettings).
 
 use serde::Deserialize;
 
--- a/src/simulator/fields.rs
+++ b/src/simulator/fields.rs
@@ -9,38 +9,38 @@
 /// Number of hexadecimal digits of a request's id.
 const REQUEST_ID_DIGITS: usize = 16;
 
-/// The reason why a line of the simulator cannot be read.
+/// The reason why a line from the simulator, or an event in it, cannot be used.
 #[derive(Debug, Error)]
 pub enum ProtocolError {
-    /// The line is not JSON.
+    /// The line cannot be parsed as JSON, for the given reason.
     #[error("not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// The line is not an array.
     #[error("not an array")]
     NotAnArray,
-    /// A value has the wrong type.
+    /// A value is missing, or has the wrong type or form.
     #[error("'{field}' {problem}")]
     Field {
-        /// The name of the field, as the platform specifies it.
+        /// Name of the field in the simulator's protocol. The line itself has only positions.
         field: &'static str,
-        /// The problem with its value.
+        /// What is wrong with the value, as a predicate such as "is not a string".
         problem: &'static str,
     },
     /// An entry of an endpoint list is not an array.
     #[error("an entry is not an array")]
     EntryNotAnArray,
-    /// A value is unknown.
+    /// A name is neither one of the protocol nor one of the node's settings.
     #[error("unknown {what} '{value}'")]
     Unknown {
-        /// The kind of the value.
+        /// What the name is for, such as "event" or "plan".
         what: &'static str,
-        /// The value.
+        /// The name as received.
         value: String,
     },
     /// An event refers to an endpoint list that was not sent.
     #[error("unknown endpoint list: no Inventory with sheet {0}")]
     UnknownList(u64),
-    /// A timer's token is not one that the policy set.
+    /// The token of an expired timer is not a number, so the policy cannot have set it.
     #[error("'{0}' is not the cookie of a timer set by this node")]
     UnknownToken(String),
     /// The settings of a node cannot be used.
@@ -65,7 +65,7 @@
 pub(super) struct Fields<'a>(pub(super) &'a [Value]);
 
 impl<'a> Fields<'a> {
-    /// Returns a value; an omitted one is null.
+    /// Returns a value; null if the line is too short.
     pub(super) fn at(&self, position: usize) -> &'a Value {
         self.0.get(position).unwrap_or(&Value::Null)
     }
--- a/src/simulator/input.rs
+++ b/src/simulator/input.rs
@@ -19,57 +19,57 @@
 /// One line of input.
 #[derive(Debug)]
 pub enum InputLine {
-    /// A batch begins.
+    /// Begins a batch: the lines up to its end, which all happen at one time.
     BatchStart {
-        /// Its time, in nanoseconds.
+        /// Virtual time of the batch, in nanoseconds.
         now_ns: u64,
-        /// Its number.
+        /// Number of the batch, which the end of the reply repeats.
         batch: u64,
     },
-    /// A batch ends.
+    /// Ends a batch, whose reply is now due.
     BatchEnd,
-    /// A node starts.
+    /// A node starts, with a new policy.
     NodeStart {
-        /// Its number.
+        /// Number by which later lines refer to the node.
         node: u64,
-        /// Its seed.
+        /// Seed of the policy's random generator.
         seed: u64,
-        /// Its settings, with the ids of the names that its lines use.
+        /// Settings of the node, which also resolve the names in its events.
         settings: Box<PlatformSettings>,
     },
-    /// A node has stopped.
+    /// A node has stopped; its policy is dropped.
     NodeStop {
-        /// Its number.
+        /// Number from the node's start.
         node: u64,
     },
-    /// A numbered endpoint list, to which events refer.
+    /// An endpoint list, to which later events of any node refer by its number.
     EndpointList {
-        /// Its number.
+        /// Number of the list. A later list with the same number replaces it.
         list: u64,
-        /// The unparsed entries.
+        /// Entries as received; [`parse_endpoints`] resolves their names by the settings of a node.
         entries: Vec<Value>,
     },
-    /// Any other line, for one node.
+    /// Any other line: an event of one node, for [`parse_event`].
     Event {
-        /// Its number.
+        /// Number from the node's start.
         node: u64,
-        /// The line.
+        /// All values of the line, including the event's name and the node's number.
         fields: Vec<Value>,
     },
 }
 
-/// An event of a node.
+/// An event of a node: an input of its policy, or an answer to a request that the policy never makes.
 #[derive(Debug)]
 pub enum NodeEvent {
-    /// An event of the policy.
+    /// An input of the policy.
     Policy(Event),
     /// A health check has completed or failed. The policy does not request any.
     HealthChecked {
-        /// The endpoint.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
         /// Whether the endpoint passed it.
         healthy: bool,
-        /// Load report; may be empty.
+        /// Load report, in the order of the settings' fields; empty if there is none.
         load_report: Vec<f64>,
     },
     /// The counter service has answered. The policy does not call it.
@@ -179,7 +179,7 @@
     })
 }
 
-/// Parses a node's event. `list` looks up numbered endpoint lists.
+/// Parses a node's event. `list` returns the entries of the endpoint list with a number, if it was sent.
 ///
 /// # Errors
 ///
@@ -279,7 +279,7 @@
     }))
 }
 
-/// Actual units according to a response; 0 stands for none.
+/// Actual units according to a response; `None` for 0, which means that the response reports none.
 fn settled_units(fields: &Fields<'_>) -> Result<Option<f64>, ProtocolError> {
     let units = fields.number_or_zero(9, "cost")?;
     Ok((units != 0.0).then_some(units))
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,5 +1,5 @@
 //! The protocol of the simulator, which runs the policies of many nodes in virtual time: lines of JSON in batches on
-//! standard input and output. This module only translates; it takes no decisions.
+//! standard input and output. This module only translates between lines and the types of [`crate::api`].
 
 mod fields;
 mod input;
--- a/src/simulator/output.rs
+++ b/src/simulator/output.rs
@@ -9,14 +9,14 @@
 /// Encoding of an attempt without a timeout and of a rejection without an advised delay.
 const NONE_NS: u64 = 0;
 
-/// A line of the protocol for which the policy has no [`Action`].
+/// A request to the simulator for which the policy has no [`Action`], so that it never makes one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SimulatorRequest {
     /// Check an endpoint's health.
     HealthCheck(EndpointId),
     /// Close idle connections to an endpoint.
     CloseIdleConnections(EndpointId),
-    /// Close the watch of the endpoint list.
+    /// Close the watch that [`Action::WatchEndpoints`] has opened.
     CloseEndpointWatch,
     /// Fetch the full endpoint list once.
     FetchEndpoints,
@@ -24,9 +24,9 @@
     AddToCounter {
         /// Name of the counter.
         name: String,
-        /// Amount to add.
+        /// Amount to add to the counter's total.
         amount: f64,
-        /// Lifetime of the counter, if it is new.
+        /// Lifetime of the counter, if this creates it.
         ttl_ns: u64,
     },
 }
@@ -131,7 +131,7 @@
     write_line(reply, &json!(["Exception", node, message]));
 }
 
-/// Appends the end of a reply.
+/// Appends the end of a reply, with the number of the batch that it answers.
 pub fn write_ready(reply: &mut String, batch: u64) {
     write_line(reply, &json!(["Ready", batch]));
 }
