--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: the checks that a request passes before its first attempt, in order.
+//! Admission: the checks that a request has to pass before its first attempt, in order.
 
 use applewall_node_types::TimeSpan;
 
@@ -19,15 +19,15 @@
 
 /// The components of the policy that admission uses.
 pub(super) struct Admission<'a> {
-    /// Quota, ceiling and concurrency limit. The request has already been recorded there.
+    /// Decides by quota, ceiling and concurrency limit. The request has already been recorded there.
     pub(super) quotas: &'a QuotaLedger,
-    /// Backlog limit and ladder, which count the request.
+    /// Decides by backlog limit and ladder, which count the request.
     pub(super) overload: &'a mut OverloadControl,
-    /// Cost of the request.
+    /// Estimates the cost of the request.
     pub(super) latency: &'a LatencyEstimator,
-    /// Work in flight.
+    /// Determines the work in flight, which the backlog limit compares.
     pub(super) pending: &'a PendingRequests,
-    /// The endpoints, whose number bounds the backlog.
+    /// Determines the number of ready endpoints, on which the backlog limit depends.
     pub(super) endpoints: &'a EndpointTable,
 }
 
@@ -54,8 +54,8 @@
         Ok(PendingRequest::new(context.now(), request, admitted))
     }
 
-    /// Decides whether the request counts as within the quota. Beyond the quota it may be sent only if the plan pays
-    /// for it.
+    /// Decides whether the request counts as within the quota. Beyond the quota it is rejected, unless
+    /// [`is_paid_excess`](Self::is_paid_excess) applies.
     fn decide_quota(
         &self,
         context: &mut Context<'_>,
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Returns true if a request beyond the quota earns more weight than it costs and there is capacity to spare.
+    /// Returns true if the plan gives requests beyond the quota more weight than they cost and there is capacity to
+    /// spare: F0 is in force and, in a large fleet, queues are short.
     fn is_paid_excess(&self, context: &Context<'_>, request: &Request) -> bool {
         let plan = context.plan(request.plan);
         let is_paid = plan.over_quota_weight_fraction > plan.over_quota_penalty_fraction;
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Counts the request in the load and takes its cost from its tier, unless the backlog limit or the filter in
-    /// force rejects it.
+    /// Counts the request in the load, and rejects it if it exceeds the backlog limit or if the filter in force does
+    /// not admit it.
     fn charge_load(
         &mut self,
         context: &mut Context<'_>,
--- a/src/decision/context.rs
+++ b/src/decision/context.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The current time.
+    /// Time of the event that is being handled.
     pub(crate) fn now(&self) -> Timestamp {
         self.now
     }
@@ -44,7 +44,7 @@
         self.started_at
     }
 
-    /// Time since the start.
+    /// Time since [`started_at`](Self::started_at).
     pub(crate) fn age(&self) -> TimeSpan {
         self.now - self.started_at
     }
@@ -65,27 +65,23 @@
         NodeId((self.settings.node.0 + distance) % self.settings.node_count)
     }
 
-    /// The policy's settings.
     pub(crate) fn settings(&self) -> &'a PolicySettings {
         self.settings
     }
 
-    /// A class of the settings.
     pub(crate) fn class(&self, class: ClassId) -> &'a Class {
         self.settings.class(class)
     }
 
-    /// A plan of the settings.
     pub(crate) fn plan(&self, plan: PlanId) -> &'a Plan {
         self.settings.plan(plan)
     }
 
-    /// The latency objective of a class.
     pub(crate) fn latency_objective(&self, class: ClassId) -> TimeSpan {
         TimeSpan::from_nanoseconds(self.class(class).latency_objective_ns)
     }
 
-    /// The shortest latency objective of all classes.
+    /// The shortest latency objective of all classes; infinite without classes.
     pub(crate) fn shortest_objective(&self) -> TimeSpan {
         self.settings
             .classes
@@ -104,7 +100,7 @@
         TimeSpan::from_nanoseconds(self.settings.slow_start_ns)
     }
 
-    /// This node.
+    /// Number of this node.
     pub(crate) fn node(&self) -> NodeId {
         self.settings.node
     }
--- a/src/decision/decaying_rate.rs
+++ b/src/decision/decaying_rate.rs
@@ -5,8 +5,8 @@
 
 /// An exponentially decaying average of a rate.
 ///
-/// The caller passes the time constant, so that one estimate can be read with the time constant that applies at that
-/// time. The order of the fields is part of the state snapshot's encoding.
+/// The caller passes the time constant with each call, because some time constants change with the load. The order of
+/// the fields is part of the state snapshot's encoding.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct DecayingRate {
     per_second: f64,
@@ -14,7 +14,7 @@
 }
 
 impl DecayingRate {
-    /// The rate that reads as `amount` over one time constant.
+    /// Creates a rate whose [`read_amount`](Self::read_amount) is `amount` now.
     pub(crate) fn of_amount(now: Timestamp, amount: f64, time_constant: TimeSpan) -> Self {
         DecayingRate {
             per_second: amount / time_constant.as_seconds(),
@@ -30,12 +30,12 @@
                 .decay(time_constant)
     }
 
-    /// Amount over one time constant at `now`.
+    /// The rate at `now` times the time constant. If that has stayed the same, this is the sum of all added amounts,
+    /// each decayed since it was added.
     pub(crate) fn read_amount(&self, now: Timestamp, time_constant: TimeSpan) -> f64 {
         self.read(now, time_constant) * time_constant.as_seconds()
     }
 
-    /// Adds an amount.
     pub(crate) fn add(&mut self, now: Timestamp, amount: f64, time_constant: TimeSpan) {
         *self = DecayingRate {
             per_second: self.read(now, time_constant) + amount / time_constant.as_seconds(),
@@ -43,7 +43,7 @@
         };
     }
 
-    /// When an amount was last added.
+    /// When an amount was last added; the clock's origin if never.
     pub(crate) fn updated_at(&self) -> Timestamp {
         self.updated_at
     }
--- a/src/decision/endpoint_watch.rs
+++ b/src/decision/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! Backoff of the endpoint list's watch.
+//! Backoff between attempts to reopen the watch of the endpoint list.
 
 use applewall_node_types::TimeSpan;
 
@@ -11,21 +11,21 @@
 /// Maximum delay before a failed watch is reopened.
 const MAX_BACKOFF: TimeSpan = TimeSpan::from_seconds(8.0);
 
-/// Exponential backoff of the watch.
+/// The watch of the endpoint list, with exponential backoff after failures.
 pub(super) struct EndpointWatch {
     /// Delay after the next failure.
     backoff: TimeSpan,
 }
 
 impl EndpointWatch {
-    /// Creates the backoff of a watch that has not failed.
+    /// Creates a watch that has not failed yet.
     pub(super) fn new() -> Self {
         EndpointWatch {
             backoff: MIN_BACKOFF,
         }
     }
 
-    /// Sets the timer for reopening the failed watch, and doubles the next delay.
+    /// Doubles the next delay and, if the list has to be watched, sets the timer for reopening the watch.
     pub(super) fn failed(&mut self, context: &Context<'_>, actions: &mut Vec<Action>) {
         let wait = self.backoff;
         self.backoff = (wait * 2.0).min(MAX_BACKOFF);
--- a/src/decision/endpoints/health.rs
+++ b/src/decision/endpoints/health.rs
@@ -1,4 +1,4 @@
-//! Endpoint health: the fraction of traffic that an endpoint's failures allow, and detection of silent endpoints.
+//! Endpoint health: the weight of an endpoint by its recent outcomes, and detection of endpoints that do not respond.
 
 use applewall_node_types::{TimeSpan, Timestamp};
 
@@ -7,20 +7,20 @@
 use crate::api::{ClassId, PlanId};
 use crate::decision::latency::LatencyEstimator;
 
-/// Minimum weight of an endpoint: the few requests that the fleet still sends it let it recover.
+/// Minimum health weight of an endpoint: by the few requests that the fleet still sends it, its recovery is noticed.
 pub(super) const MIN_HEALTH_WEIGHT: f64 = 0.02;
 /// Health weight at or below which failures are attributed to the endpoint itself, not to overload.
 const MIN_HEALTHY_WEIGHT: f64 = 0.7;
-/// Sum of the waits for responses, in usual latencies, above which an endpoint counts as silent.
+/// Sum of the waits for responses, in usual latencies, above which an endpoint can count as silent.
 const MAX_OVERDUE: f64 = 6.0;
-/// Time without a response above which an endpoint with overdue responses counts as silent.
+/// Time without any response above which an endpoint whose responses are overdue counts as silent.
 const MAX_SILENCE: TimeSpan = TimeSpan::from_seconds(0.25);
-/// Minimum usual latency by which a response counts as overdue.
+/// Minimum usual latency that a wait is divided by.
 const MIN_OVERDUE_LATENCY: TimeSpan = TimeSpan::from_seconds(0.02);
 
 impl EndpointRecord {
-    /// Fraction of traffic that the endpoint's health allows: the lower of the success ratios of the class and the
-    /// plan, squared. It covers anything that fails one kind of request at some endpoints: silence, errors, false
+    /// Factor of the endpoint's health on its traffic: the lower of the success ratios of the class and the plan,
+    /// squared. It covers whatever makes one kind of request fail at some endpoints: no response, errors, unjustified
     /// rejections.
     pub(super) fn health_weight(
         &self,
--- a/src/decision/endpoints/outcome_history.rs
+++ b/src/decision/endpoints/outcome_history.rs
@@ -1,4 +1,4 @@
-//! An endpoint's outcomes by class and by plan.
+//! Success ratios of an endpoint, by class and by plan.
 
 use applewall_node_types::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -9,10 +9,11 @@
 
 /// Time constant of an endpoint's outcomes, as a multiple of the time constant of the node's rates.
 const OUTCOME_TIME_CONSTANT_FACTOR: f64 = 4.0;
-/// Prior successes: one failure among a few outcomes can be chance.
+/// Successes that a ratio counts in addition, since one failure among a few outcomes can be chance. The number is for a
+/// rate time constant of 1 s and falls in inverse proportion to it.
 const ASSUMED_SUCCESSES: f64 = 3.0;
 
-/// Inputs for evaluating outcomes.
+/// Inputs for counting and evaluating outcomes, shared by all endpoints.
 #[derive(Clone, Copy)]
 pub(super) struct HealthContext {
     now: Timestamp,
--- a/src/decision/endpoints/outcomes.rs
+++ b/src/decision/endpoints/outcomes.rs
@@ -10,23 +10,24 @@
 use crate::decision::latency::LatencyEstimator;
 use crate::decision::overload::{outcome_statistics, LoadStatistics};
 
-/// Weight of one response in an endpoint's latency factor: an average over about ten responses.
+/// Weight of one response in an endpoint's latency factor at a rate time constant of 1 s: an average over about ten
+/// responses. It is multiplied by the square root of that time constant.
 const LATENCY_FACTOR_WEIGHT: f64 = 0.1;
 /// Lower bound of the latency factor that one response contributes.
 const MIN_LATENCY_FACTOR: f64 = 0.1;
 /// Upper bound of the latency factor that one response contributes.
 const MAX_LATENCY_FACTOR: f64 = 5.0;
-/// Minimum usual latency that a factor is computed with.
+/// Minimum usual latency as the divisor of a latency factor.
 const MIN_USUAL_LATENCY: TimeSpan = TimeSpan::from_seconds(1e-4);
-/// Minimum objective that a relative latency is computed with.
+/// Minimum objective as the divisor of a relative latency.
 const MIN_OBJECTIVE: TimeSpan = TimeSpan::from_seconds(1e-6);
 /// Minimum slow-start fraction by which a latency is scaled: an endpoint in slow start is slow without being
 /// overloaded.
 const MIN_SLOW_START_FACTOR: f64 = 0.8;
 
 impl EndpointTable {
-    /// Records an outcome in its endpoint's record and updates the latency estimates from a response. Returns the
-    /// load statistics of the outcome if the endpoint is healthy, since the failure of one endpoint is not an
+    /// Records an outcome in its endpoint's record and, after a success, updates the latency estimates. Returns the
+    /// load statistics of the outcome if the endpoint was healthy before, since the failure of one endpoint is not an
     /// overload.
     pub(crate) fn record_outcome(
         &mut self,
--- a/src/decision/endpoints/outlier.rs
+++ b/src/decision/endpoints/outlier.rs
@@ -1,4 +1,5 @@
-//! Outlier ejection: an endpoint that fails or does not respond in time temporarily gets only a minimum of requests.
+//! Outlier ejection: an endpoint that cannot be reached or does not respond in time temporarily gets only a minimum of
+//! requests.
 
 use applewall_node_types::{TimeSpan, Timestamp};
 
@@ -17,7 +18,7 @@
 const TOLERATED_RESETS: u32 = 2;
 
 impl EndpointRecord {
-    /// Returns true until the ejection time has passed.
+    /// Returns true while the ejection lasts; a response ends it early.
     pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
@@ -47,8 +48,8 @@
             .is_some_and(|response| response >= sent_at)
     }
 
-    /// Ejects the endpoint, which is silent, down or restarting. After a restart it is in slow start, which the list
-    /// shows only seconds later.
+    /// Ejects the endpoint, which does not respond, is down or is restarting. After a restart it is in slow start,
+    /// which the endpoint list shows only seconds later.
     fn eject(&mut self, now: Timestamp) {
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         let span = (FIRST_EJECTION * f64::from(1u32 << doublings)).min(MAX_EJECTION);
--- a/src/decision/endpoints/record.rs
+++ b/src/decision/endpoints/record.rs
@@ -17,8 +17,10 @@
 #[derive(Clone)]
 pub(crate) struct InFlightAttempt {
     request: RequestId,
+    /// Number of the attempt within its request, from 0.
     number: u32,
     sent_at: Timestamp,
+    /// Relative to a mean request.
     cost: f64,
     class: ClassId,
     plan: PlanId,
@@ -26,7 +28,7 @@
 }
 
 impl InFlightAttempt {
-    /// Creates the next attempt of a request.
+    /// Creates the next attempt of a request, which is sent now.
     pub(super) fn next(id: RequestId, request: &PendingRequest, now: Timestamp) -> Self {
         InFlightAttempt {
             request: id,
@@ -39,27 +41,22 @@
         }
     }
 
-    /// When it was sent.
     pub(crate) fn sent_at(&self) -> Timestamp {
         self.sent_at
     }
 
-    /// Its cost, relative to a mean request.
     pub(crate) fn cost(&self) -> f64 {
         self.cost
     }
 
-    /// The class of its request.
     pub(crate) fn class(&self) -> ClassId {
         self.class
     }
 
-    /// The plan of its request's customer.
     pub(crate) fn plan(&self) -> PlanId {
         self.plan
     }
 
-    /// The kind of its request.
     pub(crate) fn kind(&self) -> RequestKind {
         self.kind
     }
@@ -70,40 +67,39 @@
     }
 }
 
-/// An attempt that was sent to an endpoint during its slow start.
+/// An attempt that was sent to an endpoint during its slow start, within the window in which overload is counted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RecentAttempt {
     pub(super) sent_at: Timestamp,
-    /// Its cost, relative to a mean request.
+    /// Relative to a mean request.
     pub(super) cost: f64,
 }
 
 /// An upstream endpoint as this node knows it.
 #[derive(Clone)]
 pub(super) struct EndpointRecord {
-    /// Its entry in the list.
+    /// Its latest entry in the endpoint list.
     pub(super) endpoint: Endpoint,
-    /// Whether it takes requests.
+    /// Whether it takes requests according to the list.
     pub(super) is_ready: bool,
     /// Whether the list no longer contains it, or marks it as removed.
     pub(super) is_removed: bool,
     /// Whether it is in this node's subset of endpoints.
     pub(super) in_subset: bool,
-    /// Start of its slow start.
+    /// When its slow start began or, if it is not known to have started, the distant past.
     pub(super) slow_start_from: Timestamp,
     /// Whether it has been returned to service after maintenance and has had no attempt since.
     pub(super) awaits_first_attempt: bool,
     /// Attempts in flight from this process.
     pub(super) in_flight: Vec<InFlightAttempt>,
-    /// Its latency as a multiple of the usual latency.
+    /// Its latency as a multiple of the usual latency; 1 before the first response.
     pub(super) latency_factor: f64,
-    /// Time of its last response.
+    /// Time of its last response, also if that was an error or a rejection.
     pub(super) last_response_at: Option<Timestamp>,
-    /// Number of consecutive failures.
+    /// Number of consecutive attempts that could not connect, were reset or timed out.
     pub(super) consecutive_failures: u32,
-    /// When its ejection ends.
+    /// When its ejection ends; `None` if it has responded since.
     pub(super) ejected_until: Option<Timestamp>,
-    /// Attempts sent during its slow start.
     pub(super) recent_attempts: VecDeque<RecentAttempt>,
     /// Outcomes by class and by plan.
     pub(super) outcomes: OutcomeHistory,
@@ -133,7 +129,7 @@
         }
     }
 
-    /// Applies an entry of the list. For an endpoint that was restarted, slow start begins and the latency factor,
+    /// Applies an entry of the list. If the endpoint was restarted, its slow start begins, and the latency factor,
     /// failures and outcomes are reset.
     pub(super) fn update(&mut self, endpoint: &Endpoint, started_at: Timestamp) {
         self.is_ready = endpoint.state == EndpointState::Ready;
--- a/src/decision/endpoints/selection.rs
+++ b/src/decision/endpoints/selection.rs
@@ -1,8 +1,9 @@
 //! Endpoint selection: which endpoint gets an attempt.
 //!
 //! Each endpoint that may receive the attempt gets a weight: the product of subset, health, size and slow-start
-//! factors, divided by latency, zone and earlier-attempt factors. Its score is its work in flight divided by the
-//! weight. A number of endpoints is sampled by weight, and one of those with the best score is chosen.
+//! factors, divided by latency, zone and earlier-attempt factors. Its score is its work in flight, this attempt
+//! included, divided by the weight. A number of endpoints is sampled at random by weight, and one of those whose score
+//! is close to the lowest is chosen.
 
 use applewall_node_types::TimeSpan;
 
@@ -20,11 +21,11 @@
 const OTHER_ZONE_FACTOR: f64 = 1.1;
 /// Factor on the score of endpoints that have already had an attempt of the request.
 const ATTEMPTED_FACTOR: f64 = 4.0;
-/// Scores within this factor of the best count as equal.
+/// Scores within this factor of the lowest count as equal.
 const EQUAL_SCORES: f64 = 1.15;
 /// Minimum weight of endpoints outside the subset.
 const OUT_OF_SUBSET_WEIGHT: f64 = 0.002;
-/// Fraction of the subset that must be usable; the weight of the other endpoints makes up for what is missing.
+/// Fraction of the subset's capacity that must be usable; what is missing becomes the weight of the other endpoints.
 const MIN_USABLE_FRACTION: f64 = 0.5;
 /// Number of endpoints sampled per unit of this node's work in flight, in addition to the first one.
 const SAMPLES_PER_WORK_IN_FLIGHT: f64 = 2.0;
@@ -55,10 +56,11 @@
     slow_start_fraction: f64,
 }
 
-/// A candidate with its score (lower is better) and its key in the weighted sampling.
+/// A candidate with its score and its key in the weighted sampling. Lower values of both are preferred.
 struct ScoredCandidate {
     index: EndpointIndex,
     score: f64,
+    /// Exponentially distributed, with the weight as its rate.
     draw: f64,
 }
 
@@ -70,7 +72,7 @@
 }
 
 impl EndpointTable {
-    /// Selects the endpoint for a request's next attempt, if any may receive it. Uses the random generator.
+    /// Selects the endpoint for a request's next attempt; `None` if none may receive it. Uses the random generator.
     pub(crate) fn select(
         &self,
         context: &mut Context<'_>,
@@ -85,8 +87,8 @@
             if !self.has_slow_start_budget(context, request, &candidate, &scores) {
                 continue;
             }
-            // Takes precedence over all others for one attempt: with few requests, the random choice could skip it
-            // for a long time.
+            // Takes precedence over the other candidates for one attempt: with few requests, the random choice could
+            // skip it for a long time.
             if record.awaits_first_attempt {
                 return Some(candidate.index);
             }
@@ -245,7 +247,8 @@
         .max(MIN_HEALTH_WEIGHT)
 }
 
-/// Samples candidates by weight, in proportion to the work in flight, and chooses one of the best.
+/// Samples candidates by weight, more of them the more work is in flight, and chooses one of those with about the
+/// lowest score.
 ///
 /// This node's work in flight distinguishes endpoints only if there is enough of it. If all candidates were compared
 /// with little work in flight, all nodes would choose the same few.
--- a/src/decision/endpoints/slow_start.rs
+++ b/src/decision/endpoints/slow_start.rs
@@ -15,13 +15,13 @@
 const MAX_COUNTED_REQUESTS: f64 = 1.0;
 /// Fraction of a budget of few requests that is used, since their arrivals are random.
 const USED_FRACTION_OF_SMALL_BUDGET: f64 = 0.8;
-/// Fraction of a window's budget that is available at once: it is served within an objective.
+/// Fraction of a window's budget that is available at once. The endpoint serves it within an objective.
 const INITIAL_FRACTION: f64 = 0.3;
 /// Number of windows of budget for an endpoint returned to service, which has to get its first attempt soon.
 const RETURNED_WINDOWS: f64 = 2.0;
-/// Mean fraction by which the attempts in a window count, since capacity is regained evenly.
+/// Mean fraction by which the attempts within a window count against the budget: it falls from 1 to 0 with their age.
 const MEAN_COUNTED_FRACTION: f64 = 0.5;
-/// Minimum duration of slow start that a fraction is computed with.
+/// Minimum duration of slow start as a divisor.
 const MIN_SLOW_START: TimeSpan = TimeSpan::from_seconds(1e-9);
 
 /// Inputs of the budget of an endpoint in slow start.
@@ -47,14 +47,16 @@
     /// Number of requests of cost `load.cost` that an endpoint in slow start can still take from this node; negative
     /// if none.
     ///
-    /// The budget is the following, less what the endpoint got within the window, less a fraction of a request drawn
-    /// once per window (if it were drawn per request, many requests would pass):
+    /// In a window, the endpoint can take the following number of requests from this node:
     ///
     /// `used fraction * overload multiple * slow-start fraction * throughput * window * available fraction / cost`
     ///
-    /// An attempt counts by how late in the window it was sent, since capacity is regained evenly; so on average it
-    /// is compared with half of the budget. A process that has just started does not know the attempts of an earlier
-    /// one, so most of its first window becomes available only over time.
+    /// Subtracted from it are the requests that the endpoint got within the window and a random fraction of a request.
+    /// That fraction is drawn once per window: if it were drawn per request, many requests would pass.
+    ///
+    /// An attempt counts by how late in the window it was sent, since the endpoint regains the capacity evenly. The
+    /// attempts are therefore compared with half of the budget. A process that has just started does not know the
+    /// attempts of an earlier one, so most of its first window becomes available only over time.
     pub(super) fn remaining_budget(
         &self,
         context: &Context<'_>,
@@ -109,7 +111,7 @@
             .sum()
     }
 
-    /// Discards attempts that are older than the window in which overload is counted.
+    /// Discards the attempts before the window in which overload is counted.
     pub(super) fn expire_recent_attempts(&mut self, now: Timestamp, window: TimeSpan) {
         self.recent_attempts
             .retain(|attempt| now - attempt.sent_at < window);
--- a/src/decision/endpoints/snapshot.rs
+++ b/src/decision/endpoints/snapshot.rs
@@ -125,13 +125,13 @@
         }
     }
 
-    /// Whether a list was received.
+    /// Whether this process, or the one it took over from, has received a list.
     pub(in crate::decision) fn list_received(&self) -> bool {
         let (_, _, list_received) = self.parts();
         list_received
     }
 
-    /// Takes over the endpoints of another process.
+    /// Replaces the endpoints by those of another process.
     pub(in crate::decision) fn take_over(
         &mut self,
         snapshot: EndpointsSnapshot,
--- a/src/decision/endpoints/subset.rs
+++ b/src/decision/endpoints/subset.rs
@@ -1,5 +1,5 @@
-//! Deterministic subsetting: in a large fleet each node sends to a subset of the endpoints, so that it gets enough
-//! outcomes from each of them and needs few connections.
+//! Deterministic subsetting: in a large fleet, each node sends nearly all requests to a subset of the endpoints, so
+//! that it gets enough outcomes from each of them and needs few connections.
 
 use super::table::EndpointTable;
 use crate::decision::context::Context;
--- a/src/decision/endpoints/table.rs
+++ b/src/decision/endpoints/table.rs
@@ -13,9 +13,7 @@
 
 /// An attempt that has ended and the endpoint it was sent to.
 pub(crate) struct FinishedAttempt {
-    /// The attempt.
     pub attempt: InFlightAttempt,
-    /// Its endpoint.
     pub endpoint: EndpointIndex,
 }
 
@@ -26,7 +24,7 @@
     }
 }
 
-/// All endpoints of the list.
+/// All endpoints of the list, and removed ones whose index is still referred to or not reused yet.
 ///
 /// Accessed only by the policy's task. Discovery updates change the list; starting and finishing attempts change the
 /// records.
@@ -41,7 +39,7 @@
 }
 
 impl EndpointTable {
-    /// Applies an endpoint list or changes to it.
+    /// Applies an update of the endpoint list and assigns this node's subset anew.
     pub(crate) fn update(
         &mut self,
         context: &Context<'_>,
@@ -61,7 +59,8 @@
         for entry in known.into_iter().chain(new) {
             self.update_entry(context, pending, entry);
         }
-        // An empty cached list does not count: the endpoints of the first real list are not new.
+        // An empty cached list does not count as received: otherwise the endpoints of the first list from discovery
+        // would count as just started.
         self.list_received |= kind == EndpointUpdateKind::Snapshot || !entries.is_empty();
         self.assign_subset(context);
     }
@@ -100,7 +99,7 @@
         index
     }
 
-    /// The index of a removed endpoint that nothing refers to, otherwise a new one. Without reuse, the table would
+    /// The index of a removed endpoint that nothing refers to, or else a new one. Without reuse, the table would
     /// keep every endpoint that ever existed, and each selection would scan them all.
     fn free_index(&self, pending: &PendingRequests) -> EndpointIndex {
         let is_free = |index: &EndpointIndex| {
@@ -113,8 +112,8 @@
             .unwrap_or(EndpointIndex(self.records.len()))
     }
 
-    /// Returns an endpoint from maintenance to service. It was restarted, so it is in slow start, and if it has ever
-    /// responded it is due a first attempt.
+    /// Returns an endpoint from maintenance to service. It was restarted, so it is in slow start. If it has ever
+    /// responded, it gets the next attempt that its slow-start budget allows.
     pub(crate) fn return_to_service(
         &mut self,
         context: &Context<'_>,
@@ -134,7 +133,7 @@
         }
     }
 
-    /// Sets the share of its usual traffic that each zone gets.
+    /// Sets the share of its usual traffic that each zone gets; 1 for zones beyond the end.
     pub(crate) fn set_zone_shares(&mut self, shares: Vec<f64>) {
         self.zone_shares = shares;
     }
@@ -145,17 +144,14 @@
         share.copied().unwrap_or(1.0)
     }
 
-    /// Returns the record of an index.
     pub(super) fn record(&self, index: EndpointIndex) -> &EndpointRecord {
         &self.records[index.0]
     }
 
-    /// Returns the record of an index for modification.
     pub(super) fn record_mut(&mut self, index: EndpointIndex) -> &mut EndpointRecord {
         &mut self.records[index.0]
     }
 
-    /// All records with their indexes.
     pub(super) fn indexed(&self) -> impl Iterator<Item = (EndpointIndex, &EndpointRecord)> {
         let records = self.records.iter().enumerate();
         records.map(|(index, record)| (EndpointIndex(index), record))
@@ -192,7 +188,7 @@
         record.endpoint.id.clone()
     }
 
-    /// Removes an attempt that has ended from those in flight and returns it.
+    /// Removes an attempt that has ended from those in flight and returns it; `None` if it is unknown.
     pub(crate) fn finish_attempt(&mut self, result: &AttemptResult) -> Option<FinishedAttempt> {
         let endpoint = *self.indexes.get(&result.endpoint)?;
         let attempt = self.records[endpoint.0].finish(result.request, result.attempt)?;
--- a/src/decision/event_clock.rs
+++ b/src/decision/event_clock.rs
@@ -54,7 +54,8 @@
         self.started_at = started_at;
     }
 
-    /// Sets the start time to that of the last event, because later requests went to another process.
+    /// Sets the start time to that of the last event, after a hot restart has failed: in the meantime requests went to
+    /// another process.
     pub(super) fn restart(&mut self) {
         self.started_at = self.last_event_at();
     }
--- a/src/decision/hashing.rs
+++ b/src/decision/hashing.rs
@@ -7,7 +7,8 @@
 /// Mask of the 30 bits of a fingerprint: five base64 digits of a gossip message.
 const FINGERPRINT_MASK: u64 = 0x3fff_ffff;
 
-/// Hash of a customer's name, by which nodes refer to the customer in messages.
+/// 30-bit hash of a customer's id, by which nodes refer to the customer in messages. Customers whose hashes are equal
+/// are treated as one.
 #[derive(
     Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
@@ -15,7 +16,7 @@
 pub struct CustomerFingerprint(pub u32);
 
 impl CustomerFingerprint {
-    /// Computes the fingerprint of a customer's name.
+    /// Computes the fingerprint of a customer's id.
     pub fn of(name: &str) -> Self {
         CustomerFingerprint(fingerprint(name))
     }
@@ -31,7 +32,7 @@
     ((hash ^ (hash >> 30)) & FINGERPRINT_MASK) as u32
 }
 
-/// Rank of a candidate for a name in rendezvous hashing (highest random weight).
+/// A pseudorandom rank for a pair of a name and a candidate, for rendezvous hashing. Callers sort by it, lowest first.
 pub fn rendezvous_rank(name: u32, candidate: u32) -> u64 {
     let mixed = (u64::from(name) << 32 | u64::from(candidate)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ mixed >> 29).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -39,7 +40,9 @@
 }
 
 /// A pseudorandom number from 0 to 1 for a pair of an item and a node, which changes once per period. The periods of
-/// different pairs begin at different times. `periods`: the current time, in periods.
+/// different pairs begin at different times.
+///
+/// `periods`: the current time, in periods since the clock's origin.
 pub fn periodic_draw(item: u32, node: NodeId, periods: f64) -> f64 {
     let draw = |name, candidate| rendezvous_rank(name, candidate) as f64 / u64::MAX as f64;
     let period = (periods + draw(item, node.0)) as u32;
--- a/src/decision/ids.rs
+++ b/src/decision/ids.rs
@@ -2,7 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Index of an endpoint in the endpoint table. It is not reused while anything refers to it.
+/// Index of an endpoint in the endpoint table. It is reused only for a removed endpoint without attempts in flight, and
+/// only when no pending request has had an attempt there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct EndpointIndex(pub usize);
--- a/src/decision/latency.rs
+++ b/src/decision/latency.rs
@@ -20,7 +20,7 @@
 const MACHINE_TYPE_PRIOR: f64 = 10.0;
 /// Maximum weight, in responses, of the estimate of a machine type, so that it keeps adapting.
 const MAX_MACHINE_TYPE_RESPONSES: f64 = 200.0;
-/// Minimum usual latency in ratios, so that nothing is divided by zero.
+/// Minimum usual latency as a divisor, so that nothing is divided by zero.
 const MIN_LATENCY: TimeSpan = TimeSpan::from_seconds(1e-4);
 /// Minimum cost of a request, relative to that of a mean request.
 const MIN_COST: f64 = 0.1;
@@ -33,7 +33,7 @@
 /// estimate.
 const MAX_MACHINE_DEVIATION: f64 = 4.0;
 
-/// A class of requests and a size bucket, for which latency is learned separately.
+/// Index of a pair of a class and a size bucket, for which latency is learned separately.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RequestKind(usize);
 
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -13,8 +13,8 @@
 //! | `pending` | requests that have no final answer yet | |
 //!
 //! A request passes through `admission`, endpoint selection and `retry`. Every component receives the settings, the
-//! current time and the random generator in a `Context`. `snapshot` is the encoding that a hot restart transfers.
-//! `docs/design.md` names the source of each rule.
+//! current time and the random generator in a `Context`. `snapshot` is the encoding of the state that a hot restart
+//! transfers. `docs/design.md` names the source of each rule.
 
 mod admission;
 mod context;
--- a/src/decision/overload/backlog.rs
+++ b/src/decision/overload/backlog.rs
@@ -25,7 +25,7 @@
 /// Minimum limit, in requests, that this node can enforce by its own work in flight: random arrivals alone exceed a
 /// smaller one too often.
 const MIN_RELIABLE_BACKLOG: f64 = 4.0;
-/// Time after the start in which this node's own backlog is not limited, because its throughput is not known yet.
+/// Time after the start in which this node's own backlog is not limited, since its throughput is not known yet.
 const GRACE_PERIOD: TimeSpan = TimeSpan::from_seconds(0.3);
 /// Ratio of requested to completed work up to which the excess can be chance.
 const TOLERATED_EXCESS: f64 = 1.3;
@@ -38,19 +38,18 @@
 /// Minimum elapsed fraction of the time constant by which the throughput of a process that has just started is scaled
 /// up.
 const MIN_FILLED_FRACTION: f64 = 0.1;
-/// Minimum capacity that a ratio is computed with.
+/// Minimum capacity as a divisor.
 const MIN_CAPACITY: f64 = 1e-9;
 
-/// The inputs of the backlog limit beside the ladder and the pool.
+/// The inputs of the backlog limit that neither the ladder nor the pool has.
 pub(crate) struct Backlog {
     /// Cost of this node's attempts that are not past their objective.
     work_in_flight: f64,
-    /// Endpoints that take requests.
+    /// Number of endpoints that take requests.
     ready_endpoints: usize,
 }
 
 impl Backlog {
-    /// Creates the inputs from the current backlog of this node.
     pub(crate) fn new(work_in_flight: f64, ready_endpoints: usize) -> Self {
         Backlog {
             work_in_flight,
@@ -87,8 +86,8 @@
     sample_pooled_backlog(context, pool, backlog.work_in_flight) > pooled_limit
 }
 
-/// Cost completed per second. The estimate of a process that has just started is scaled up by the fraction of the
-/// time constant that has passed; while it is unknown, the minimum of the limit applies.
+/// Cost that this node's attempts complete per second. The estimate of a process that has just started is scaled up,
+/// because the decaying average is not filled yet. While the throughput is 0, the minimum of the limit applies.
 fn own_throughput(context: &Context<'_>, ladder: &Ladder) -> f64 {
     let filled = 1.0 - context.age().decay(ladder.time_constant());
     ladder.completed_per_second(context.now()) / filled.max(MIN_FILLED_FRACTION)
@@ -97,11 +96,12 @@
 /// Samples the fleet's backlog per node: `draw * excess ^ 1.5 * in flight`. Chance alone exceeds a limit of few
 /// requests, so the pool decides, and only for a fraction of the requests.
 ///
-/// Without the excess, the backlog would settle at the limit times the ratio of requested to completed work, which
-/// overloads the endpoints when clients retry. The excess protects against any demand beyond what is completed,
-/// including its retries. The larger it is, the less backlog is needed to keep the endpoints busy. After endpoints
-/// have gained capacity it can reject too much until the pool shows the gain. A process that has just started cannot
-/// tell what is excess.
+/// The excess is the ratio of requested work to the tolerated multiple of the capacity, at least 1. Without it, the
+/// backlog would settle at the limit times the ratio of requested to completed work, which overloads the endpoints when
+/// clients retry. The excess protects against any demand beyond what is completed, including its retries. The larger
+/// it is, the less backlog is needed to keep the endpoints busy. After endpoints have gained capacity it can reject too
+/// much until the pool shows the gain. In a process that has just started it is 1, because the requested work is not
+/// known yet.
 fn sample_pooled_backlog(context: &mut Context<'_>, pool: &LoadPool, work_in_flight: f64) -> f64 {
     let received = pool.received();
     let is_pooled = received.intervals > 0.0 && pool.has_recent_messages(context.now());
--- a/src/decision/overload/ladder.rs
+++ b/src/decision/overload/ladder.rs
@@ -1,8 +1,9 @@
 //! The ladder of filters: admission under load, after the QGuard paper (`docs/design.md`).
 //!
 //! Filter F0 admits all requests and the last one rejects all; those in between admit a rate of cost that is split
-//! over the tiers. The filter in force changes by at most one step per sojourn, depending on the load index of the
-//! last intervals. The terms are those of the paper: filters F0 to Fn, load index, focal point, sojourn and lag.
+//! over the tiers. The filter in force changes by at most one step per sojourn, depending on the load indexes of the
+//! last intervals. The terms are those of the paper: filters F0 to Fn, load index, focal point, sojourn (the time since
+//! the filter in force last changed) and lag (the usual duration of an overload).
 
 use std::collections::VecDeque;
 
@@ -26,8 +27,8 @@
 const OVERLOAD_MAJORITY: usize = 3;
 /// Minimum number of overloaded intervals in the history for tightening: a single one can be chance.
 const MIN_OVERLOADED_INTERVALS: usize = 2;
-/// Minimum sojourn between changes of the filter, per second of the rates' time constant: a third of a history, so
-/// that the effect of a change can show.
+/// Minimum sojourn, per second of the rates' time constant: a third of a history, so that the effect of a change can
+/// show.
 const MIN_SOJOURN: TimeSpan = TimeSpan::from_seconds(0.3);
 /// Maximum time constant of rates, in seconds, that lengthens the minimum sojourn.
 const MAX_SOJOURN_TIME_CONSTANT: f64 = 5.0;
@@ -112,12 +113,11 @@
         self.time_constant = time_constant;
     }
 
-    /// Cost completed per second.
+    /// Cost that this node's attempts complete per second.
     pub(super) fn completed_per_second(&self, now: Timestamp) -> f64 {
         self.completed.read(now, self.time_constant)
     }
 
-    /// Counts completed work.
     pub(super) fn record_completed(&mut self, now: Timestamp, cost: f64) {
         self.completed.add(now, cost, self.time_constant);
     }
@@ -197,7 +197,8 @@
         }
     }
 
-    /// Updates the learned duration of an overload once the ladder responds to it.
+    /// Notes the onset of an overload and, when the load index becomes negative, updates the learned lag by the
+    /// overload's duration.
     fn update_lag(&mut self, now: Timestamp, load_index: i32) {
         if load_index > 0 {
             self.overload_since.get_or_insert(now);
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Tightens or loosens by one filter if the sojourn has passed and the history requires it.
+    /// Tightens or loosens by one filter if the minimum sojourn has passed and the history requires it.
     fn change_filter(&mut self, now: Timestamp, load_index: i32, is_pooled: bool) {
         let min_sojourn = MIN_SOJOURN
             * self
@@ -263,7 +264,8 @@
         }
     }
 
-    /// At the onset of an overload, spreads the filters in even steps around the throughput (the focal point).
+    /// At the onset of an overload, spreads the rates of the filters in even steps around the throughput (the focal
+    /// point) and puts the first filter at or below [`STARTING_RATE`] in force.
     fn refocus(&mut self, now: Timestamp) {
         self.focal_rate = self.completed_per_second(now);
         let step = (MAX_FILTER_RATE - MIN_FILTER_RATE) / (LAST_FILTER - 2) as f64;
--- a/src/decision/overload/load_index.rs
+++ b/src/decision/overload/load_index.rs
@@ -1,5 +1,4 @@
-//! The load index of the QGuard paper: the degree of overload of the endpoints in an interval, by the outcomes of
-//! attempts.
+//! The load index of the QGuard paper: how overloaded the endpoints are, judged by the outcomes of attempts.
 
 use super::statistics::LoadStatistics;
 use crate::api::Outcome;
@@ -8,12 +7,14 @@
 pub(super) const OVERLOAD_LATENCY: f64 = 0.45;
 /// Latency, in objectives, below which a response signals underload.
 const UNDERLOAD_LATENCY: f64 = 0.30;
-/// Fraction of rejected, unconnected or timed-out outcomes above which an interval is overloaded.
+/// Fraction of the outcomes that must be rejected or unconnected, or else timed out, to signal overload. Up to half of
+/// it signals underload.
 const OVERLOAD_FAILURES: f64 = 0.05;
 
 /// Statistics of one outcome at a healthy endpoint. `relative_latency`: its latency, in objectives.
 ///
-/// A timeout shorter than the objective does not count: it results from the cost of one request.
+/// A timeout before the objective is counted as an outcome but not as a timeout: it results from the cost of one
+/// request.
 pub(crate) fn outcome_statistics(outcome: Outcome, relative_latency: f64) -> LoadStatistics {
     let count = |condition: bool| f64::from(u8::from(condition));
     let succeeded = outcome == Outcome::Success;
@@ -28,10 +29,11 @@
     }
 }
 
-/// The load index: +1 for each signal of overload (slow, rejected, timed out), -1 for each signal of underload.
+/// The load index, from -3 to 3: +1 for each signal of overload (slow, rejected, timed out), -1 for each signal of
+/// underload.
 pub(super) fn load_index(statistics: &LoadStatistics) -> i32 {
-    // Only successful responses: outcomes that some endpoints reject or lose are no evidence about the latency of the
-    // others.
+    // Without rejections and timeouts: the attempts that some endpoints reject or lose are no evidence about the
+    // latency of the others.
     let responses = statistics.outcomes - statistics.rejected - statistics.timed_out;
     let is_mostly_fast = statistics.fast * 2.0 >= responses;
     // The absence of failures signals underload only while queues are short; otherwise it would cancel the latency
--- a/src/decision/overload/mod.rs
+++ b/src/decision/overload/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! [`OverloadControl`] owns the ladder (`ladder`, `tiers`), the statistics that the nodes of a large fleet pool
 //! (`pool`) and the rate of arriving requests. Outcomes of attempts are passed in as [`LoadStatistics`]. Once per
-//! monitor interval, a load index is computed from them (`load_index`), which may move the ladder by one filter.
+//! monitor interval, a load index is computed from them (`load_index`), which may change the filter in force by one
+//! step. The backlog limit (`backlog`) is checked for each request.
 
 mod backlog;
 mod ladder;
@@ -27,7 +28,7 @@
 use load_index::OVERLOAD_LATENCY;
 use pool::LoadPool;
 
-/// Interval at which the load is evaluated. It contains a few outcomes at tens of requests per second.
+/// Interval at which the load is evaluated. At tens of requests per second, a few outcomes fall into it.
 pub(crate) const MONITOR_INTERVAL: TimeSpan = TimeSpan::from_seconds(0.1);
 /// Minimum time constant of rates, at a high rate of outcomes.
 const RATE_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(1.0);
@@ -35,11 +36,11 @@
 const MAX_RATE_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(6.0);
 /// Number of outcomes that a history needs to be evaluated without the pool.
 const ENOUGH_OUTCOMES: f64 = 20.0;
-/// Maximum factor by which a pool is scaled up to enough outcomes, so that a few outcomes do not decide.
+/// Maximum factor by which the pool is scaled up to enough outcomes, so that a few outcomes do not decide.
 const MAX_POOL_SCALING: f64 = 4.0;
 /// Fraction of timed-out work that counts as completed: it may have been executed or lost.
 const TIMED_OUT_FRACTION: f64 = 0.5;
-/// Minimum arrival rate, in requests per second, that a time constant is computed with.
+/// Minimum arrival rate, in requests per second, as the divisor of a time constant.
 const MIN_ARRIVAL_RATE: f64 = 1e-9;
 
 /// The ladder, the pooled load and the rate of arriving requests.
@@ -60,19 +61,20 @@
         }
     }
 
-    /// Counts an arriving request and returns the requests per second.
+    /// Counts an arriving request and returns the current number of requests per second.
     pub(crate) fn record_arrival(&mut self, now: Timestamp) -> f64 {
         self.arrivals.add(now, 1.0, RATE_TIME_CONSTANT);
         self.arrivals.read(now, RATE_TIME_CONSTANT)
     }
 
-    /// Counts work requested within quotas.
+    /// Counts the cost of a request that its customer's limits admit.
     pub(crate) fn record_requested(&mut self, cost: f64) {
         self.pool.record_requested(cost);
     }
 
-    /// Counts work that an attempt completed. A timeout counts for a fraction: an endpoint that has failed lost the
-    /// work, which does not mean a lack of capacity, but an overloaded one may still execute it, which does.
+    /// Counts work that an attempt completed. A timeout counts for a fraction, because its cause is unknown: a failed
+    /// endpoint has lost the work, which does not indicate a lack of capacity, while an overloaded one may still
+    /// execute it, which does.
     pub(crate) fn record_completed(&mut self, now: Timestamp, outcome: Outcome, cost: f64) {
         match outcome {
             Outcome::Success => {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Counts an outcome at a healthy endpoint.
+    /// Counts an outcome at a healthy endpoint, in this node's history and in the pool.
     pub(crate) fn record_outcome(&mut self, statistics: &LoadStatistics) {
         self.ladder.record(statistics);
         self.pool.record(statistics);
@@ -112,7 +114,7 @@
         self.ladder.take_tokens(context.now(), request, draw)
     }
 
-    /// Returns true while no filter limits the rate.
+    /// Returns true while F0 is in force, which limits nothing.
     pub(crate) fn admits_all(&self) -> bool {
         self.ladder.admits_all()
     }
@@ -122,17 +124,20 @@
         self.ladder.time_constant()
     }
 
-    /// Cost completed per second.
+    /// Cost that this node's attempts complete per second.
     pub(crate) fn completed_per_second(&self, now: Timestamp) -> f64 {
         self.ladder.completed_per_second(now)
     }
 
-    /// Queueing time of a request sent now, as a fraction of the shortest objective.
+    /// Queueing time of a request sent now, as a fraction of the shortest objective; 0 until peers' statistics arrive.
     pub(crate) fn relative_queueing_time(&self, context: &Context<'_>) -> f64 {
         self.pool.queueing_time() / context.shortest_objective()
     }
 
-    /// Ends a monitor interval: evaluates its load and moves the ladder by at most one filter.
+    /// Ends a monitor interval: evaluates its load and changes the filter in force by at most one step. Returns the
+    /// change, if any.
+    ///
+    /// `effective_endpoints`: number of fully started endpoints that the ready ones are equivalent to.
     pub(crate) fn end_interval(
         &mut self,
         context: &Context<'_>,
@@ -152,11 +157,12 @@
             .end_interval(now, &statistics, context.is_large_fleet())
     }
 
-    /// The statistics that drive the ladder: this node's history and, in a large fleet, a fraction of the pool that
-    /// makes up for the shortfall below [`ENOUGH_OUTCOMES`], since the few outcomes of one node are mostly chance.
+    /// The statistics that drive the ladder: this node's history and, in a large fleet, as much of the pool as is
+    /// missing to [`ENOUGH_OUTCOMES`], since the few outcomes of one node are mostly chance. In a large fleet without
+    /// recent messages of peers, they are empty.
     ///
-    /// The pool lags, which is why the sojourn is longer with it. Its ratios from before a change could hold the
-    /// ladder closed, which is why its scaling is bounded.
+    /// The pool lags, which is why the sojourn is longer with it. Its ratios from before a change could keep a filter
+    /// in force for too long, which is why its scaling is bounded.
     fn effective_statistics(&self, context: &Context<'_>) -> LoadStatistics {
         let own = self.ladder.history();
         if !context.is_large_fleet() {
@@ -189,7 +195,7 @@
         self.pool.receive(now, statistics);
     }
 
-    /// Takes the statistics to send to a peer.
+    /// Removes half of the pooled statistics, to be sent to a peer.
     pub(crate) fn take_outgoing_statistics(&mut self) -> LoadStatistics {
         self.pool.take_outgoing()
     }
--- a/src/decision/overload/pool.rs
+++ b/src/decision/overload/pool.rs
@@ -7,14 +7,14 @@
 use super::{MONITOR_INTERVAL, RATE_TIME_CONSTANT};
 use crate::decision::decaying_rate::DecayingRate;
 
-/// Minimum rate of recent messages at which the pool counts as representing more than one peer.
+/// Minimum rate of recent messages, per second, at which the pool counts as representing more than one peer.
 const MIN_POOLED_MESSAGES: f64 = 1.0;
 /// Time constant of pooled statistics: about the length of the ladder's history.
 const POOL_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(1.0);
 /// Time constant with which the known capacity falls: longer than endpoints take to recover from an overload, shorter
 /// than a lasting loss of capacity.
 const CAPACITY_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(20.0);
-/// Fraction of the pool that is sent to a peer; the rest stays, so that nothing is counted twice.
+/// Fraction of the outgoing statistics that is sent to a peer. Only the rest stays, so that nothing is counted twice.
 const SENT_FRACTION: f64 = 0.5;
 /// Maximum number of intervals that one message may count for. Larger messages are scaled down, so that no peer
 /// outweighs the others.
@@ -22,7 +22,7 @@
 /// Maximum ratio of slow and fast responses to all outcomes in a well-formed message; above 1, because the encoding
 /// rounds.
 const MAX_RESPONSE_RATIO: f64 = 1.1;
-/// Minimum divisor of ratios.
+/// Minimum divisor of ratios, so that nothing is divided by zero.
 const MIN_DIVISOR: f64 = 1e-9;
 
 /// The pool of one node.
@@ -44,17 +44,16 @@
 }
 
 impl LoadPool {
-    /// Counts work requested within quotas.
+    /// Counts the cost of a request that its customer's limits admit.
     pub(super) fn record_requested(&mut self, cost: f64) {
         self.outgoing.requested += cost;
     }
 
-    /// Counts completed work.
     pub(super) fn record_completed(&mut self, cost: f64) {
         self.outgoing.completed += cost;
     }
 
-    /// Counts outcomes.
+    /// Adds the statistics of an outcome to those that are sent.
     pub(super) fn record(&mut self, statistics: &LoadStatistics) {
         self.outgoing = self.outgoing.plus(statistics, 1.0);
     }
@@ -85,7 +84,7 @@
             (completed - self.capacity_per_endpoint) * (MONITOR_INTERVAL / time_constant);
     }
 
-    /// Adds a peer's statistics. An inconsistent message is dropped.
+    /// Adds a peer's statistics, scaled down if they cover many intervals. Inconsistent ones are dropped.
     pub(super) fn receive(&mut self, now: Timestamp, statistics: &LoadStatistics) {
         let responses = statistics.slow + statistics.fast;
         let is_consistent =
@@ -99,7 +98,7 @@
         self.messages.add(now, 1.0, RATE_TIME_CONSTANT);
     }
 
-    /// Takes the fraction of the pool to send to a peer.
+    /// Removes [`SENT_FRACTION`] of the outgoing statistics and returns it.
     pub(super) fn take_outgoing(&mut self) -> LoadStatistics {
         self.outgoing = self.outgoing.scaled(SENT_FRACTION);
         self.outgoing
@@ -110,7 +109,7 @@
         &self.received
     }
 
-    /// Returns true if messages of more than one peer were received recently.
+    /// Returns true if messages arrive at a rate of at least [`MIN_POOLED_MESSAGES`].
     pub(super) fn has_recent_messages(&self, now: Timestamp) -> bool {
         self.messages.read(now, RATE_TIME_CONSTANT) >= MIN_POOLED_MESSAGES
     }
--- a/src/decision/overload/snapshot.rs
+++ b/src/decision/overload/snapshot.rs
@@ -7,7 +7,7 @@
 use super::OverloadControl;
 use crate::decision::decaying_rate::DecayingRate;
 
-/// The ladder, with its fields in the order of the state snapshot.
+/// A [`Ladder`], whose field order is that of the state snapshot.
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub(in crate::decision) struct LadderSnapshot(Ladder);
--- a/src/decision/overload/statistics.rs
+++ b/src/decision/overload/statistics.rs
@@ -1,30 +1,30 @@
-//! Counts of attempt outcomes in one monitor interval, or pooled over peers.
+//! Counts of attempt outcomes and of work, of one node or pooled over peers.
 
 use serde::{Deserialize, Serialize};
 
-/// Counts of outcomes and of work, used by the load index and the backlog limit. They cover one interval, or are sums
-/// with exponential decay.
+/// Counts of outcomes and of work, used by the load index and the backlog limit. They cover one monitor interval, or
+/// are sums over intervals with exponential decay. Work is measured in the cost of a mean request.
 ///
 /// The order of the fields is part of the state snapshot's encoding.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadStatistics {
-    /// Outcomes at healthy endpoints.
+    /// Outcomes of all kinds at healthy endpoints.
     pub outcomes: f64,
-    /// Responses whose latency, as a fraction of the objective, is above the overload threshold.
+    /// Successes whose latency, as a fraction of the objective, is above the overload threshold.
     pub slow: f64,
-    /// Responses whose latency, as a fraction of the objective, is below the underload threshold.
+    /// Successes whose latency, as a fraction of the objective, is below the underload threshold.
     pub fast: f64,
     /// Attempts rejected by the endpoint, or that could not connect.
     pub rejected: f64,
-    /// Attempts that timed out.
+    /// Attempts that timed out no earlier than the latency objective.
     pub timed_out: f64,
-    /// Number of monitor intervals in the sums.
+    /// Number of monitor intervals that the sums of work cover; of all contributing nodes together.
     pub intervals: f64,
-    /// Work in flight, summed over the intervals.
+    /// Work in flight at the end of each interval, summed over the intervals.
     pub in_flight: f64,
-    /// Work completed, summed over the intervals.
+    /// Work completed in the intervals; a timed-out attempt counts for a fraction.
     pub completed: f64,
-    /// Work requested within quotas, summed over the intervals.
+    /// Work of the requests that arrived in the intervals and were admitted by their customers' limits.
     pub requested: f64,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the counts scaled by `weight`.
+    /// Returns all counts multiplied by `weight`.
     #[must_use]
     pub fn scaled(&self, weight: f64) -> Self {
         LoadStatistics::default().plus(self, weight)
--- a/src/decision/overload/tiers.rs
+++ b/src/decision/overload/tiers.rs
@@ -7,7 +7,7 @@
 use crate::decision::context::Context;
 use crate::decision::decaying_rate::DecayingRate;
 
-/// Fraction of its demand that every filter but the last guarantees a tier.
+/// Fraction of its demand that each filter but the last guarantees a tier.
 const MIN_TIER_FRACTION: f64 = 0.1;
 /// Capacity of a tier's bucket, as a duration at its rate, so that random bursts pass.
 const BUCKET_DEPTH: TimeSpan = TimeSpan::from_seconds(0.3);
@@ -19,7 +19,7 @@
 const SATISFIED_FRACTION: f64 = 0.999;
 /// Minimum rate, in cost per second, that is split further; anything less is a rounding error.
 const MIN_DIVISIBLE_RATE: f64 = 1e-6;
-/// Minimum demand, in cost per second, that a mean is computed with.
+/// Minimum demand, in cost per second, as a divisor.
 const MIN_DEMAND: f64 = 1e-9;
 
 /// Index of a tier, which is a pair of a plan and a class.
@@ -47,7 +47,6 @@
         WeightedRequest { tier, cost, weight }
     }
 
-    /// Priority weight per unit of cost.
     pub(super) fn weight_per_cost(&self) -> f64 {
         self.weight / self.cost
     }
@@ -110,7 +109,7 @@
 pub(super) struct Tiers(Vec<Tier>);
 
 impl Tiers {
-    /// Creates empty buckets.
+    /// Creates empty buckets that are not refilled yet.
     pub(super) fn new(count: usize) -> Self {
         Tiers(vec![Tier::default(); count])
     }
@@ -148,15 +147,16 @@
         }
     }
 
-    /// Refills all buckets by the tokens of a duration.
+    /// Adds the tokens of a duration to all buckets, up to their capacity.
     pub(super) fn refill(&mut self, span: TimeSpan) {
         for tier in &mut self.0 {
             tier.refill(span);
         }
     }
 
-    /// Splits a rate over the tiers by max-min fairness: first the guaranteed minimums, then by priority weight and
-    /// demand. What one tier does not need goes to the others.
+    /// Splits a rate over the tiers by weighted max-min fairness: first the guaranteed minimums, then in proportion to
+    /// priority weight and demand. What one tier does not need goes to the others, and what none needs is divided
+    /// equally.
     pub(super) fn split_rate(&mut self, now: Timestamp, time_constant: TimeSpan, rate: f64) {
         let demand: Vec<f64> = self
             .0
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Mean priority weight per unit of requested cost.
+    /// Mean priority weight per unit of requested cost, over all tiers.
     pub(super) fn mean_weight(&self, now: Timestamp, time_constant: TimeSpan) -> f64 {
         let mut total_demand = 0.0;
         let mut total_weight = 0.0;
--- a/src/decision/pending.rs
+++ b/src/decision/pending.rs
@@ -10,7 +10,7 @@
 use super::latency::RequestKind;
 use crate::api::{ClassId, PlanId, Request, RequestId};
 
-/// The first attempt of a request that may have executed it.
+/// An attempt that may have executed its request.
 #[derive(Clone, Copy)]
 pub(crate) struct PossibleExecution {
     endpoint: EndpointIndex,
@@ -18,7 +18,6 @@
 }
 
 impl PossibleExecution {
-    /// Creates the record of an attempt.
     pub(crate) fn new(endpoint: EndpointIndex, sent_at: Timestamp) -> Self {
         PossibleExecution { endpoint, sent_at }
     }
@@ -28,21 +27,19 @@
         self.endpoint
     }
 
-    /// When the attempt was sent.
     pub(crate) fn sent_at(&self) -> Timestamp {
         self.sent_at
     }
 }
 
-/// Results of the admission of a request.
+/// What admission has determined about a request.
 pub(crate) struct AdmittedRequest {
-    /// Fingerprint of its customer.
     pub customer: CustomerFingerprint,
-    /// Its kind, for which latencies are learned.
     pub kind: RequestKind,
     /// Cost of an attempt, relative to that of a mean request.
     pub cost: f64,
-    /// Whether it counts against the quota; otherwise it is paid for beyond the quota.
+    /// Whether it counts against the quota; otherwise it was admitted beyond the quota, by the weight that the plan
+    /// gives such requests.
     pub within_quota: bool,
 }
 
@@ -58,7 +55,9 @@
     attempts: u32,
     /// When the last attempt was sent.
     sent_at: Timestamp,
+    /// The first attempt that may have executed it.
     possible_execution: Option<PossibleExecution>,
+    /// The endpoints of all attempts, in the order of sending.
     attempted_endpoints: Vec<EndpointIndex>,
 }
 
@@ -78,12 +77,10 @@
         }
     }
 
-    /// Its class.
     pub(crate) fn class(&self) -> ClassId {
         self.class
     }
 
-    /// Its customer's plan.
     pub(crate) fn plan(&self) -> PlanId {
         self.plan
     }
@@ -93,12 +90,10 @@
         self.units
     }
 
-    /// Its customer.
     pub(crate) fn customer(&self) -> CustomerFingerprint {
         self.admitted.customer
     }
 
-    /// Its kind, for which latencies are learned.
     pub(crate) fn kind(&self) -> RequestKind {
         self.admitted.kind
     }
@@ -133,7 +128,7 @@
         self.attempted_endpoints.contains(&endpoint)
     }
 
-    /// The endpoints that have had an attempt of it, in the order of the attempts.
+    /// The endpoints that have had an attempt of it, in the order of sending.
     pub(crate) fn attempted_endpoints(&self) -> &[EndpointIndex] {
         &self.attempted_endpoints
     }
--- a/src/decision/policy/hot_restart.rs
+++ b/src/decision/policy/hot_restart.rs
@@ -11,8 +11,8 @@
 const RETAINED_CEILING_RATE: f64 = 1e-3;
 
 impl DecisionPolicy {
-    /// Hands the state over. From then on this process has only its fraction of each ceiling's units and practically
-    /// no refill rate.
+    /// Encodes the state for the new process. From then on this process has only its fraction of each ceiling's units
+    /// and practically no refill rate.
     ///
     /// # Errors
     ///
@@ -48,7 +48,8 @@
         self.scale_ceiling_rates(|rate| rate / RETAINED_CEILING_RATE);
     }
 
-    /// Takes over the state of another process.
+    /// Replaces the state by that of another process, as [`export_snapshot`](Self::export_snapshot) encoded it.
+    /// Requests in flight stay with the other process.
     ///
     /// # Errors
     ///
--- a/src/decision/policy/mod.rs
+++ b/src/decision/policy/mod.rs
@@ -125,8 +125,8 @@
         std::mem::take(&mut self.components.rejections)
     }
 
-    /// Number of entries in all tables of the policy. It is bounded, however many customers and endpoints come and
-    /// go.
+    /// Number of entries in all tables of the policy, for checking that its memory is bounded, however many customers
+    /// and endpoints come and go.
     pub fn entry_count(&self) -> usize {
         let components = &self.components;
         components.endpoints.entry_count()
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Records a request, and rejects it or sends its first attempt.
+    /// Records a request in the quota ledger, and rejects it or sends its first attempt.
     fn request_received(
         &mut self,
         context: &mut Context<'_>,
@@ -169,6 +169,7 @@
         }
     }
 
+    /// Sends the first attempt of a request that admission lets pass.
     fn admit_and_send(
         &mut self,
         context: &mut Context<'_>,
@@ -280,7 +281,7 @@
             .apply_outlier_detection(context, finished, outcome);
     }
 
-    /// Replaces the estimated units of a request by those that the response reports.
+    /// Replaces the estimated units of a request within the quota by those that the response reports.
     fn settle(&mut self, context: &Context<'_>, request: &PendingRequest, result: &AttemptResult) {
         let Some(settled_units) = result.settled_units.filter(|units| *units > 0.0) else {
             return;
--- a/src/decision/quota/aggregate.rs
+++ b/src/decision/quota/aggregate.rs
@@ -11,20 +11,21 @@
 pub(super) const LIFETIME: TimeSpan = TimeSpan::from_seconds(20.0);
 /// Interval at which an aggregate that is still valid is repeated.
 pub(super) const REPEAT_INTERVAL: TimeSpan = TimeSpan::from_seconds(6.0);
-/// Time that each further aggregator waits for those ranked before it.
+/// Time that an aggregator waits for each of those ranked before it to send. Also the minimum age at which an aggregate
+/// in force is replaced.
 pub(super) const AGGREGATOR_DELAY: TimeSpan = TimeSpan::from_seconds(0.5);
 /// Deviation of a peer's estimate of the quota, as a fraction of the burst, beyond which the aggregator corrects it.
 pub(super) const TOLERATED_ERROR: f64 = 0.3;
 /// Change of the demand that is sent at once, as a difference of the square roots of counts (an approximately
 /// constant standard deviation for a Poisson process).
 const SIGNIFICANT_CHANGE: f64 = 1.5;
-/// Level of the quota, as a fraction of the burst, below which it is running short.
+/// Level of the quota, as a fraction of the burst, below which it is running short if the demand exceeds its rate.
 const SHORT_LEVEL: f64 = 0.2;
 
 /// The sum of a customer's demand over all its nodes, as sent or received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QuotaAggregate {
-    /// Units requested per second.
+    /// Units requested per second through all nodes of the customer.
     demand: f64,
     /// Units in the quota when this node sent it; 0 in a received aggregate, whose level was applied on receipt.
     quota_units: f64,
@@ -37,16 +38,16 @@
 pub(super) struct CurrentUsage<'a> {
     pub(super) now: Timestamp,
     pub(super) plan: &'a Plan,
-    /// Units requested per second.
+    /// Units requested per second through all nodes of the customer.
     pub(super) demand: f64,
-    /// Units in the quota.
+    /// Units in the quota; negative for a debt.
     pub(super) quota_units: f64,
     /// See [`super::max_concurrency_rate`].
     pub(super) max_rate: f64,
 }
 
 impl QuotaAggregate {
-    /// Creates an aggregate as of a time.
+    /// Creates an aggregate that is sent or received at this time.
     pub(super) fn new(demand: f64, quota_units: f64, at: Timestamp) -> Self {
         QuotaAggregate {
             demand,
@@ -55,17 +56,14 @@
         }
     }
 
-    /// Units requested per second.
     pub(super) fn demand(&self) -> f64 {
         self.demand
     }
 
-    /// Units in the quota when it was sent.
     pub(super) fn quota_units(&self) -> f64 {
         self.quota_units
     }
 
-    /// When it was sent or received.
     pub(super) fn at(&self) -> Timestamp {
         self.at
     }
@@ -80,7 +78,6 @@
         now - self.at < LIFETIME
     }
 
-    /// The message that carries it.
     pub(super) fn to_update(self, plan: &Plan) -> AggregateUpdate {
         AggregateUpdate {
             demand: self.demand,
@@ -103,12 +100,12 @@
     }
 }
 
-/// Returns true if the aggregate that a customer's nodes were sent last is outdated.
+/// Returns true if a customer's nodes need a new aggregate. `last_sent`: the last one sent or received.
 ///
 /// If none is in force, one is needed when the customer is running short of its quota or its demand exceeds the rate
 /// that makes the best use of its concurrency limit. If one is in force, a new one is needed when the receivers'
 /// estimate of the quota is inaccurate, when the demand has changed by more than chance, or when the aggregate is
-/// still valid and due to be repeated.
+/// due to be repeated because the demand still exceeds the quota's rate.
 pub(super) fn is_outdated(last_sent: Option<QuotaAggregate>, current: CurrentUsage<'_>) -> bool {
     let CurrentUsage {
         now,
--- a/src/decision/quota/aggregation.rs
+++ b/src/decision/quota/aggregation.rs
@@ -13,15 +13,13 @@
 
 /// Fraction of the receive limit that aggregates to sets of nodes may use if all aggregators send.
 const AGGREGATE_FRACTION: f64 = 0.5;
-/// Maximum time for which that fraction accumulates while it is unused, since an aggregate is sent to many nodes at
+/// Maximum time for which that fraction is saved up while it is unused, since an aggregate is sent to many nodes at
 /// once.
 const MAX_SAVED_TIME: TimeSpan = TimeSpan::from_seconds(10.0);
 
 /// An aggregate that is due to all other nodes of a customer's set.
 pub(crate) struct DueAggregate {
-    /// The receivers.
     pub to: Vec<NodeId>,
-    /// The aggregate.
     pub update: AggregateUpdate,
 }
 
@@ -55,7 +53,8 @@
         })
     }
 
-    /// Applies an aggregate that a peer sent.
+    /// Applies an aggregate that a peer sent. Ignored if the peer is not one of the customer's aggregators, as far as
+    /// this node knows them.
     pub(crate) fn receive_aggregate(
         &mut self,
         context: &Context<'_>,
@@ -77,9 +76,9 @@
 }
 
 impl CustomerQuota {
-    /// Returns true if this node has to send an aggregate: it is an aggregator of a large set, the aggregate sent
-    /// last is outdated, and none of the aggregators ranked before it has sent one within [`AGGREGATOR_DELAY`] each.
-    /// This way the next one sends if an aggregator is down.
+    /// Returns true if this node has to send an aggregate: it is an aggregator of a large set, the last aggregate is
+    /// outdated, and none of the aggregators ranked before it has sent one within [`AGGREGATOR_DELAY`] each. If an
+    /// aggregator is down, the next one sends instead.
     fn aggregate_is_due(&mut self, context: &Context<'_>, plan: &Plan, max_rate: f64) -> bool {
         let all_aggregate = self.aggregators.includes_all_of(self.nodes);
         if !self.aggregators.includes_this_node() || all_aggregate || !plan.has_quota() {
--- a/src/decision/quota/aggregators.rs
+++ b/src/decision/quota/aggregators.rs
@@ -71,7 +71,7 @@
         self.ranked.first().copied()
     }
 
-    /// Rank of an aggregator, from 0.
+    /// Rank of a node among the aggregators, from 0; `None` if it is no aggregator.
     pub(super) fn rank_of(&self, node: NodeId) -> Option<usize> {
         self.ranked
             .iter()
--- a/src/decision/quota/ceiling.rs
+++ b/src/decision/quota/ceiling.rs
@@ -10,7 +10,7 @@
 
 /// Fraction of a ceiling that is allocated evenly in a large set; the rest is granted by the first aggregator.
 const BASE_ALLOCATION: f64 = 0.5;
-/// Fraction of the ceiling's excess over the quota with which a new process starts.
+/// Fraction of the ceiling's excess over the quota with which a new process starts, in a large set.
 const INITIAL_FRACTION: f64 = 0.75;
 /// Time constant with which unused granted units are written off.
 pub(super) const GRANT_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(3.0);
@@ -26,7 +26,7 @@
     (units * GRANTS_PER_UNIT).floor() / GRANTS_PER_UNIT
 }
 
-/// Usage of the reserve by other nodes.
+/// What the customer's other nodes use of the ceiling, as the holder of the reserve knows it.
 #[derive(Clone, Copy)]
 pub(super) struct ReserveUsage {
     /// Peers whose allocation is not full.
@@ -50,7 +50,7 @@
 }
 
 impl Ceiling {
-    /// Creates an empty allocation that is not split yet.
+    /// Creates an empty allocation, for a customer whose nodes are not known yet.
     pub(super) fn empty() -> Self {
         Ceiling {
             units: 0.0,
@@ -83,7 +83,6 @@
         self.base_allocation
     }
 
-    /// Units in the reserve, if this node holds it.
     pub(super) fn reserve(&self) -> Option<f64> {
         self.reserve
     }
@@ -93,8 +92,8 @@
         self.dither
     }
 
-    /// Returns true if part of the ceiling is in a reserve, because the customer's nodes are too many to report to
-    /// each other.
+    /// Returns true if part of the ceiling is in a reserve, at this node or another one, because the customer's nodes
+    /// are too many to report to each other.
     pub(super) fn has_reserve(&self) -> bool {
         self.base_allocation < 1.0
     }
@@ -148,10 +147,10 @@
         }
     }
 
-    /// Refills the allocation.
+    /// Refills the allocation by the tokens of a duration.
     ///
-    /// Granted units beyond its capacity are kept, but in a large set only for as long as the reserve counts them as
-    /// granted: if they were kept indefinitely, grants to one peer after another would add up to far more than the
+    /// Granted units beyond its capacity are kept. In a large set they decay at the rate at which the reserve writes
+    /// them off: if they were kept indefinitely, grants to one peer after another would add up to far more than the
     /// ceiling.
     pub(super) fn refill_allocation(&mut self, span: TimeSpan, plan: &Plan, nodes: u32) {
         let fraction = self.base_allocation / f64::from(nodes);
@@ -166,8 +165,8 @@
         self.units = filled.min(capacity + excess);
     }
 
-    /// Refills the reserve if this node holds it. An allocation that has not been used for as long as the ceiling
-    /// takes to fill is full, so the reserve gets what would overflow there.
+    /// Refills the reserve, if this node holds it, by the tokens of a duration. An allocation that has not been used
+    /// for as long as the ceiling takes to fill is full, so the reserve gets what would overflow there.
     pub(super) fn refill_reserve(
         &mut self,
         span: TimeSpan,
@@ -203,7 +202,7 @@
         self.units -= units;
     }
 
-    /// Adds units granted by a peer.
+    /// Adds units granted by a peer, up to the size of the reserve in a large set and of one allocation in a small one.
     pub(super) fn add_grant(&mut self, units: f64, plan: &Plan, nodes: u32) {
         let fraction = if self.has_reserve() {
             1.0 - self.base_allocation
@@ -225,7 +224,8 @@
         transferred
     }
 
-    /// Returns true if allocation and reserve are full, so that nothing is lost by discarding them.
+    /// Returns true if the allocation and the reserve, if held here, are full, so that nothing is lost by discarding
+    /// them. Always true without a ceiling.
     pub(super) fn is_full(&self, plan: &Plan, nodes: u32) -> bool {
         if !plan.has_ceiling() {
             return true;
--- a/src/decision/quota/customer.rs
+++ b/src/decision/quota/customer.rs
@@ -31,9 +31,9 @@
     pub(super) total: DecayingRate,
     /// Units per second that peers report as forwarded.
     pub(super) peers_forwarded: DecayingRate,
-    /// Total units forwarded by this process.
+    /// Total units of requests that this process has sent within the quota.
     pub(super) forwarded_units: f64,
-    /// Total units requested from this process.
+    /// Total units of requests that arrived at this process, clients' retries excluded.
     pub(super) requested_units: f64,
 }
 
@@ -51,7 +51,7 @@
     /// Estimated units in the quota over all nodes; negative for a debt.
     pub(super) quota_units: f64,
     pub(super) ceiling: Ceiling,
-    /// Whether it is in the queue of customers whose usage has to be reported.
+    /// Whether it is in [`QuotaLedger::unreported`](super::ledger::QuotaLedger::unreported).
     pub(super) unreported: bool,
     /// When the quota and the ceiling were last refilled.
     pub(super) refilled_at: Timestamp,
@@ -64,16 +64,17 @@
     pub(super) in_flight: u32,
     /// The last report of each peer.
     pub(super) peers: BTreeMap<NodeId, PeerUsage>,
-    /// Level that a peer reported before this node knew the plan, as a fraction of the burst.
+    /// Level at which the quota starts when the plan becomes known, as a fraction of the burst: 1, or as a peer has
+    /// reported it.
     pub(super) initial_level: f64,
     /// The last aggregate sent or received.
     pub(super) aggregate: Option<QuotaAggregate>,
-    /// Since when an aggregate has been due.
+    /// Since when the last aggregate has been outdated, if this node is an aggregator.
     pub(super) aggregate_due_since: Option<Timestamp>,
 }
 
 impl CustomerQuota {
-    /// Creates an empty entry.
+    /// Creates the entry of a customer whose plan and nodes are not known yet.
     pub(super) fn new(now: Timestamp) -> Self {
         CustomerQuota {
             plan: None,
@@ -139,12 +140,11 @@
         is_busy && self.nodes.size > 1 && plan.has_quota()
     }
 
-    /// Units requested per second through all nodes, as far as known here.
+    /// Units requested per second through all nodes, as far as requests here and peers' reports show.
     pub(super) fn total_demand(&self, now: Timestamp) -> f64 {
         self.demand.total.read(now, RATE_TIME_CONSTANT)
     }
 
-    /// Units requested per second through this node.
     pub(super) fn own_demand(&self, now: Timestamp) -> f64 {
         self.demand.own.read(now, RATE_TIME_CONSTANT)
     }
@@ -234,14 +234,16 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Replaces the estimated units of a request by those that the response reports.
+    /// Corrects the quota by the difference of a request's actual units from the estimate.
     pub(super) fn settle(&mut self, context: &Context<'_>, plan: &Plan, difference: f64) {
         self.drain(plan, difference, context.settings().max_request_units);
         self.demand.forwarded_units = (self.demand.forwarded_units + difference).max(0.0);
     }
 
-    /// As the holder of the ceiling reserve, grants a peer that used `used_units` what it may need soon. A lost grant
-    /// only wastes units.
+    /// As the holder of the ceiling reserve, grants a peer what it may need soon. `None` if it needs nothing or nothing
+    /// is left. A lost grant only wastes units.
+    ///
+    /// `used_units`: what the peer has forwarded since its previous report.
     pub(super) fn grant_from_reserve(
         &mut self,
         now: Timestamp,
--- a/src/decision/quota/grants.rs
+++ b/src/decision/quota/grants.rs
@@ -14,11 +14,9 @@
 
 /// Units of a customer's ceiling for a peer. They are deducted here at once, so a lost grant only wastes them.
 pub(crate) struct DueGrant {
-    /// The receiver.
     pub to: NodeId,
-    /// The customer.
     pub customer: CustomerFingerprint,
-    /// The units.
+    /// A multiple of 1/4 unit.
     pub units: f64,
 }
 
@@ -47,7 +45,7 @@
         due
     }
 
-    /// Applies a grant of a peer.
+    /// Applies a grant of a peer. Ignored if the customer's plan is not known or the peer is not among its nodes.
     pub(crate) fn receive_grant(
         &mut self,
         context: &Context<'_>,
@@ -69,8 +67,8 @@
 }
 
 impl CustomerQuota {
-    /// Chooses the peer with the highest demand among those beyond their allocation, and the units that this node can
-    /// spare for it.
+    /// Chooses the peer with the highest demand among those whose demand is near or above their allocation, and the
+    /// units that this node can spare for it.
     fn choose_grant(&self, context: &Context<'_>, plan: &Plan) -> Option<(NodeId, f64)> {
         let now = context.now();
         let nodes = f64::from(self.nodes.size);
--- a/src/decision/quota/ledger.rs
+++ b/src/decision/quota/ledger.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns a customer's entry, which is created if it does not exist.
+    /// Returns a customer's entry, after creating it if it does not exist.
     pub(super) fn entry(
         &mut self,
         now: Timestamp,
@@ -54,7 +54,8 @@
             .or_insert_with(|| CustomerQuota::new(now))
     }
 
-    /// Returns the customer of a request that is being handled, whose entry was created by [`Self::record_request`].
+    /// Returns the entry of a customer that is known to exist: [`Self::record_request`] has created that of a request's
+    /// customer.
     pub(super) fn known(&self, customer: CustomerFingerprint) -> &CustomerQuota {
         &self.customers[&customer]
     }
--- a/src/decision/quota/limits.rs
+++ b/src/decision/quota/limits.rs
@@ -9,26 +9,28 @@
 use crate::decision::context::Context;
 use crate::decision::hashing::CustomerFingerprint;
 
-/// Ratio of requested to forwarded units beyond which demand through other nodes is attributed to retrying clients.
+/// Ratio of requested to forwarded units beyond which the demand through other nodes is attributed to clients' retries.
 const MAX_RETRY_RATIO: f64 = 3.0;
 /// Part of the concurrency limit that the rate leaves free for random arrivals, as a multiple of the limit's square
 /// root.
 const CONCURRENCY_HEADROOM: f64 = 1.1;
-/// Minimum demand, in units per second, that a probability is computed with.
+/// Minimum demand, in units per second, as the divisor of a probability.
 const MIN_DEMAND: f64 = 1e-9;
 
 /// Latencies used to estimate the requests in flight.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestLatency {
-    /// Of a request sent now, including queueing.
+    /// Expected latency of any request that is sent now, including queueing.
     pub with_queueing: TimeSpan,
-    /// Usual latency of the kind of request.
+    /// Usual latency of this kind of request.
     pub usual: TimeSpan,
 }
 
-/// Rate of admitted units per second that makes the best use of a concurrency limit. Beyond it, the additional
-/// requests cause more rejections by endpoints, because the limit is reached, than responses. It serves sets of nodes
-/// that cannot know how many requests are in flight now. `latency`: latency of a request, including queueing.
+/// Rate of admitted units per second that makes the best use of a concurrency limit; infinite without a limit or before
+/// a latency is known. Beyond it, the additional requests cause more rejections by endpoints, because the limit is
+/// reached, than responses. It is for sets of nodes that cannot know how many requests are in flight now.
+///
+/// `latency`: latency of a request, including queueing.
 pub(crate) fn max_concurrency_rate(plan: &Plan, latency: TimeSpan) -> f64 {
     match plan.max_concurrency {
         Some(limit) if latency > TimeSpan::ZERO => {
@@ -72,7 +74,7 @@
         in_flight < f64::from(limit)
     }
 
-    /// Returns true if the ceiling of the request's customer has enough units.
+    /// Returns true if the ceiling of the request's customer has enough units for it here.
     pub(crate) fn is_under_ceiling(
         &self,
         context: &Context<'_>,
--- a/src/decision/quota/messages.rs
+++ b/src/decision/quota/messages.rs
@@ -21,12 +21,12 @@
         WrappingTotal((units * CODES_PER_UNIT).round() as u64 as u32 & CODE_MASK)
     }
 
-    /// Creates a total from its code.
+    /// Creates a total from the code in a message or a snapshot.
     pub fn from_code(code: u32) -> Self {
         WrappingTotal(code)
     }
 
-    /// Its code.
+    /// The total in steps of 1/4 unit, from 0 to 4095.
     pub fn code(self) -> u32 {
         self.0
     }
@@ -53,19 +53,19 @@
     pub plan: PlanId,
     /// The nodes through which the customer's requests arrive.
     pub nodes: NodeSet,
-    /// Total units forwarded in this incarnation.
+    /// Total units that the sender has forwarded within the quota in its incarnation.
     pub forwarded: WrappingTotal,
-    /// Total units requested in this incarnation.
+    /// Total units requested from the sender in its incarnation, clients' retries excluded.
     pub requested: WrappingTotal,
-    /// Level of the quota as estimated by the sender, as a fraction of the burst, -1 to 1.
+    /// Level of the quota as estimated by the sender, as a fraction of the burst, -1 to 1; negative for a debt.
     pub quota_level: f64,
 }
 
 /// A customer's usage over all its nodes, as summed by an aggregator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AggregateUpdate {
-    /// Units requested per second.
+    /// Units requested per second through all of the customer's nodes.
     pub demand: f64,
-    /// Level of the quota, as a fraction of the burst, -1 to 1.
+    /// Level of the quota, as a fraction of the burst, -1 to 1; negative for a debt.
     pub quota_level: f64,
 }
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -1,7 +1,7 @@
 //! Quotas, ceilings and concurrency limits, which apply to each customer over all nodes together.
 //!
-//! [`QuotaLedger`] owns all state about customers. A request is recorded, admitted or rejected (`limits`), and
-//! charged. Gossip takes the messages that are due from the ledger and passes received ones to it: usage reports
+//! [`QuotaLedger`] owns all state about customers. A request is recorded, admitted or rejected (`limits`) and, if it is
+//! sent, charged. Gossip takes the messages that are due from the ledger and passes received ones to it: usage reports
 //! (`reports`), an aggregator's aggregates (`aggregation`) and grants of a ceiling (`grants`). A customer's entry is
 //! not accessed outside this module.
 
@@ -31,10 +31,10 @@
 pub(super) const RATE_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(1.0);
 /// Duration over which the remaining units of an empty quota, or its debt, are spread in the admission probability.
 const DEBT_HORIZON: TimeSpan = TimeSpan::from_seconds(1.0);
-/// Minimum receive limit, in messages per second, that message intervals are computed with.
+/// Minimum rate, in messages per second, that message intervals are computed with.
 const MIN_MESSAGES_PER_SECOND: f64 = 0.1;
 
-/// Interval between messages that use `fraction` of a node's receive limit.
+/// Interval at which a node may send messages. If all nodes do, each receives `fraction` of its limit on average.
 fn message_interval(context: &Context<'_>, fraction: f64) -> TimeSpan {
     let messages_per_second = fraction * context.settings().gossip_messages_per_second;
     TimeSpan::from_seconds(1.0 / messages_per_second.max(MIN_MESSAGES_PER_SECOND))
--- a/src/decision/quota/peer_usage.rs
+++ b/src/decision/quota/peer_usage.rs
@@ -29,7 +29,7 @@
     forwarded: WrappingTotal,
     requested: WrappingTotal,
     demand: DecayingRate,
-    /// Units that the ceiling reserve granted it and that it has not used yet, as a rate over
+    /// Units granted from the ceiling reserve that the peer is not known to have used, as a rate over
     /// [`GRANT_TIME_CONSTANT`].
     granted: DecayingRate,
 }
@@ -98,12 +98,12 @@
         self.demand.read(now, RATE_TIME_CONSTANT)
     }
 
-    /// When the peer last reported units.
+    /// When the peer's last report arrived; the clock's origin if none has.
     pub(super) fn last_reported_at(&self) -> Timestamp {
         self.demand.updated_at()
     }
 
-    /// Units granted to the peer that are not known to be used or lost.
+    /// Units granted to the peer that are neither known to be used nor written off yet.
     pub(super) fn granted_units(&self, now: Timestamp) -> f64 {
         self.granted.read_amount(now, GRANT_TIME_CONSTANT)
     }
@@ -120,7 +120,7 @@
         wanted - outstanding
     }
 
-    /// Sets the granted units that are not used yet.
+    /// Replaces the granted units that are not known to be used.
     pub(super) fn set_granted(&mut self, now: Timestamp, units: f64) {
         self.granted = DecayingRate::of_amount(now, units, GRANT_TIME_CONSTANT);
     }
--- a/src/decision/quota/reports.rs
+++ b/src/decision/quota/reports.rs
@@ -15,13 +15,12 @@
 
 /// Reports due to one peer, which are sent in one or more messages.
 pub(crate) struct DueReports {
-    /// The receiver.
     pub to: NodeId,
-    /// Reports of one or more customers.
+    /// At least one report.
     pub reports: Vec<(CustomerFingerprint, UsageReport)>,
 }
 
-/// Reply of the holder of a ceiling reserve to a peer's report.
+/// Reply to a peer's report. Empty unless this node is the customer's first aggregator in a large set.
 #[derive(Default)]
 pub(crate) struct ReportAnswer {
     /// The aggregate, if the peer's estimate of the quota is inaccurate.
@@ -31,9 +30,9 @@
 }
 
 impl QuotaLedger {
-    /// Takes the reports that are due now to the aggregators of queued customers. In a small fleet, all reports are
-    /// sent together. In a large one, each is sent alone as soon as the receive limit allows it, to the first
-    /// aggregator before the others.
+    /// Takes the reports that are due now to the aggregators of the customers in the queue. In a small fleet, all
+    /// reports are sent together. In a large one, each is sent alone as soon as the receive limit allows it, to the
+    /// first aggregator before the others.
     pub(crate) fn take_due_reports(&mut self, context: &Context<'_>) -> Vec<DueReports> {
         if self.unreported.is_empty() || context.now() < self.next_report_at {
             return Vec::new();
@@ -194,7 +193,7 @@
         }
     }
 
-    /// Returns true if the customer is tracked already or may be added.
+    /// Returns true if the customer has an entry or may be added because of a peer's message.
     pub(super) fn may_track(&self, customer: CustomerFingerprint) -> bool {
         !self.is_full() || self.customers.contains_key(&customer)
     }
--- a/src/decision/quota/snapshot.rs
+++ b/src/decision/quota/snapshot.rs
@@ -21,7 +21,7 @@
 /// handles.
 const HANDED_OVER_FRACTION: f64 = 0.5;
 
-/// A peer's report, in the field order of the state snapshot.
+/// A [`PeerUsage`] in the field order of the state snapshot.
 #[derive(Serialize, Deserialize)]
 struct PeerUsageSnapshot {
     forwarded: u32,
@@ -30,7 +30,7 @@
     granted: DecayingRate,
 }
 
-/// An aggregate, in the field order of the state snapshot.
+/// A [`QuotaAggregate`] in the field order of the state snapshot.
 #[derive(Serialize, Deserialize)]
 struct AggregateSnapshot {
     demand: f64,
@@ -38,7 +38,7 @@
     at: Timestamp,
 }
 
-/// A customer, in the field order of the state snapshot.
+/// A [`CustomerQuota`] in the field order of the state snapshot.
 #[derive(Serialize, Deserialize)]
 pub(in crate::decision) struct CustomerSnapshot {
     plan: Option<PlanId>,
--- a/src/decision/rejection.rs
+++ b/src/decision/rejection.rs
@@ -15,7 +15,7 @@
 pub(super) enum Rejection {
     /// The customer exceeds its quota, ceiling or concurrency limit.
     CustomerLimit,
-    /// The backlog limit is exceeded.
+    /// The work in flight exceeds the backlog limit for the request's class and weight.
     Backlog,
     /// The ladder's filter in force does not admit the request.
     Ladder,
@@ -25,7 +25,7 @@
     AttemptsFailed,
 }
 
-/// Numbers of requests rejected before any attempt, by reason.
+/// Numbers of requests rejected before any attempt, by reason, since they were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectionCounts {
     /// Rejected by the customer's quota, ceiling or concurrency limit.
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -45,7 +45,7 @@
         RetryBudget { tokens }
     }
 
-    /// Number of retries that may be sent now; not necessarily an integer.
+    /// Number of retries that may be sent now. Not necessarily an integer: a request deposits a fraction of a token.
     pub(super) fn tokens(&self) -> f64 {
         self.tokens
     }
@@ -72,11 +72,11 @@
 /// How long after the first attempt that may have executed a request another attempt is safe.
 #[derive(Clone, Copy)]
 enum RetryWindow {
-    /// Never.
+    /// No further attempt is safe: the request is not idempotent.
     Closed,
-    /// For this duration.
+    /// As long as the endpoints certainly recognize the idempotency key.
     For(TimeSpan),
-    /// Always.
+    /// Every further attempt is safe: the request is idempotent.
     Unlimited,
 }
 
@@ -94,7 +94,6 @@
         }
     }
 
-    /// Returns true if the window is longer than `span`.
     fn exceeds(self, span: TimeSpan) -> bool {
         match self {
             RetryWindow::Closed => false,
@@ -128,7 +127,7 @@
     is_early.then_some(timeout)
 }
 
-/// Returns true if another attempt of the request is safe and can be in time. Does not check the retry budget.
+/// Returns true if another attempt of the request is allowed, safe and can be in time. Does not check the retry budget.
 pub(super) fn may_retry(
     context: &Context<'_>,
     request: &PendingRequest,
