--- a/crates/node-types/src/lib.rs
+++ b/crates/node-types/src/lib.rs
@@ -27,7 +27,7 @@
         self.0 as usize
     }
 
-    /// The node `distance` places after this one in a ring of `fleet_size` nodes.
+    /// The node `distance` positions after this one in the order of ids, which continues with node 0 after the last one.
     #[must_use]
     pub fn successor(self, distance: u32, fleet_size: u32) -> NodeId {
         NodeId((self.0 + distance) % fleet_size)
@@ -40,11 +40,11 @@
     }
 }
 
-/// A message and its receiver.
+/// A message that a core returns, for its caller to send to one peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing<M> {
-    /// The receiving node.
+    /// The peer to send it to; never the sender itself.
     pub to: NodeId,
-    /// The message to send.
+    /// The message, which the caller encodes.
     pub message: M,
 }
--- a/crates/node-types/src/time.rs
+++ b/crates/node-types/src/time.rs
@@ -30,7 +30,7 @@
         Timestamp(nanoseconds as f64 / NANOSECONDS_PER_SECOND)
     }
 
-    /// Nanoseconds since the origin; 0 for timestamps before it.
+    /// Whole nanoseconds since the origin, rounded down; 0 for timestamps before it.
     pub fn as_nanoseconds(self) -> u64 {
         TimeSpan(self.0).as_nanoseconds()
     }
@@ -50,13 +50,13 @@
         self.0
     }
 
-    /// The later of two timestamps.
+    /// The later of two timestamps. Defined here because `f64` has no total order, as [`Ord::max`] would need.
     #[must_use]
     pub fn max(self, other: Timestamp) -> Timestamp {
         Timestamp(self.0.max(other.0))
     }
 
-    /// The earlier of two timestamps.
+    /// The earlier of two timestamps; see [`Self::max`].
     #[must_use]
     pub fn min(self, other: Timestamp) -> Timestamp {
         Timestamp(self.0.min(other.0))
@@ -64,7 +64,7 @@
 }
 
 impl TimeSpan {
-    /// The empty span.
+    /// The time between two equal timestamps.
     pub const ZERO: TimeSpan = TimeSpan(0.0);
     /// Longer than every other span.
     pub const INFINITE: TimeSpan = TimeSpan(f64::INFINITY);
@@ -74,12 +74,12 @@
         TimeSpan(nanoseconds as f64 / NANOSECONDS_PER_SECOND)
     }
 
-    /// The span in nanoseconds; 0 for negative spans.
+    /// The span in whole nanoseconds, rounded down; 0 for negative spans, and `u64::MAX` for those that exceed it.
     pub fn as_nanoseconds(self) -> u64 {
         (self.0.max(0.0) * NANOSECONDS_PER_SECOND) as u64
     }
 
-    /// Fraction of a quantity that remains after exponential decay over this span.
+    /// Fraction of a quantity that remains after exponential decay over this span: 1/e after one time constant.
     pub fn decay(self, time_constant: TimeSpan) -> f64 {
         (-(self / time_constant)).exp()
     }
@@ -89,7 +89,7 @@
         TimeSpan(seconds)
     }
 
-    /// The span in seconds.
+    /// The span in seconds, not rounded.
     pub const fn as_seconds(self) -> f64 {
         self.0
     }
@@ -100,19 +100,23 @@
         TimeSpan(self.0.abs())
     }
 
-    /// The longer of two spans.
+    /// The longer of two spans; see [`Timestamp::max`].
     #[must_use]
     pub fn max(self, other: TimeSpan) -> TimeSpan {
         TimeSpan(self.0.max(other.0))
     }
 
-    /// The shorter of two spans.
+    /// The shorter of two spans; a negative span is shorter than a positive one.
     #[must_use]
     pub fn min(self, other: TimeSpan) -> TimeSpan {
         TimeSpan(self.0.min(other.0))
     }
 
     /// Restricts the span to the range from `min` to `max`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if `min` is longer than `max`.
     #[must_use]
     pub fn clamp(self, min: TimeSpan, max: TimeSpan) -> TimeSpan {
         TimeSpan(self.0.clamp(min.0, max.0))
--- a/crates/zone-failover/src/event.rs
+++ b/crates/zone-failover/src/event.rs
@@ -12,26 +12,27 @@
 pub struct Start<'a> {
     /// Names of all zones, in any order. All nodes must have the same set.
     pub zone_names: &'a [String],
-    /// Number of nodes in the fleet.
+    /// Number of nodes in the fleet, this one included; 0 counts as 1.
     pub fleet_size: u32,
-    /// The id of this node.
+    /// The id of this node; less than `fleet_size`.
     pub node: NodeId,
-    /// Seed of the random number generator.
+    /// Seed of the generator that chooses the receivers of messages and this process's incarnation. It should differ from
+    /// that of the node's previous process: peers would otherwise take this process's first messages for outdated ones.
     pub seed: u64,
-    /// Time of the start.
+    /// Time of the start. For some seconds from then on, the node adopts the fleet's decisions.
     pub now: Timestamp,
 }
 
 /// The number of endpoints in a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneEndpoints {
-    /// The zone's name.
+    /// The zone's name, as in [`Start::zone_names`].
     pub zone: String,
     /// Number of endpoints in service.
     pub endpoints: u32,
 }
 
-/// An event for the core.
+/// What happened, for [`ZoneFailover::handle`](crate::ZoneFailover::handle).
 #[derive(Clone, Debug)]
 pub enum Input {
     /// The endpoint list changed. Contains all zones that have endpoints; zones that are not configured are ignored.
@@ -42,16 +43,16 @@
         zone: ZoneId,
         /// The endpoint that the attempt was sent to.
         endpoint: EndpointId,
-        /// The outcome of the attempt.
+        /// What the attempt shows about the zone.
         observation: Observation,
         /// Send time of the attempt.
         sent_at: Timestamp,
     },
     /// A message of a peer arrived.
     MessageReceived {
-        /// The sender.
+        /// The sender. The message is ignored if it is this node or outside the fleet.
         from: NodeId,
-        /// The decoded message.
+        /// The message, which the caller has decoded.
         message: ZoneMessage,
     },
     /// The evaluation interval of about 100 ms elapsed.
--- a/crates/zone-failover/src/message.rs
+++ b/crates/zone-failover/src/message.rs
@@ -16,7 +16,7 @@
 const MAX_MESSAGE_BYTES: usize = 256;
 /// Prefix of the field that lists the zones for which the sender knows a healthy alternative.
 const ALTERNATIVES_TAG: char = 'A';
-/// Maximum number of zones in that field, so that room is left for reports.
+/// Maximum number of zones in that field, so that reports fit into the message as well.
 pub(crate) const MAX_ZONES_WITH_ALTERNATIVE: usize = 8;
 /// Sums and shares are transmitted in thousandths.
 const SCALE: f64 = 1000.0;
@@ -47,9 +47,9 @@
 pub struct ZoneReport {
     /// The zone's index in the sorted list of all zone names.
     pub zone: u16,
-    /// Outcomes of the sender's own attempts.
+    /// Outcomes of the sender's own attempts in about the last second.
     pub sums: OutcomeSums,
-    /// The share of the zone's usual traffic that the sender sends to it.
+    /// The share of the zone's usual traffic that the sender sends to it, from 0 to 1, canary traffic excluded.
     pub traffic_share: f64,
 }
 
@@ -58,7 +58,7 @@
 pub struct ZoneMessage {
     /// Random number that the sender generated when it started.
     pub incarnation: u32,
-    /// Increases with each message of an incarnation.
+    /// Number of the message within the incarnation, from 1.
     pub sequence: u32,
     /// Failing zones for which the sender's own attempts show a healthy alternative.
     pub zones_with_alternative: Vec<u16>,
--- a/crates/zone-failover/src/observation.rs
+++ b/crates/zone-failover/src/observation.rs
@@ -7,16 +7,16 @@
 /// The outcome of an attempt as evidence on the endpoint's zone. Ordered from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Observation {
-    /// A response in time.
+    /// A successful response within the latency objective.
     Good,
-    /// A late response or a failure: the endpoint is reachable but does not serve.
+    /// A failure, or a late or overdue response: the endpoint does not serve but may be reachable.
     Failing,
-    /// Connection failed or reset, or response long overdue: the endpoint may be down.
+    /// A connection that could not be established or was reset: the endpoint may be down.
     Dead,
 }
 
-/// Exponentially decaying sums of outcomes. Each endpoint counts at most once per interval, so that a single bad endpoint
-/// does not make its zone look bad.
+/// Exponentially decaying numbers of outcomes. Each endpoint counts at most once per interval, so that a single bad
+/// endpoint does not make its zone look bad.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutcomeSums {
     /// See [`Observation::Good`].
@@ -31,27 +31,27 @@
 const MIN_TOTAL: f64 = 1e-9;
 
 impl OutcomeSums {
-    /// The sum of all outcomes.
+    /// Number of all outcomes; not an integer, because of the decay.
     pub fn total(&self) -> f64 {
         self.good + self.failing + self.dead
     }
 
-    /// The sum of failing and dead outcomes.
+    /// Number of failing and dead outcomes, those that count against the zone.
     pub fn bad(&self) -> f64 {
         self.failing + self.dead
     }
 
-    /// Fraction of the outcomes that are failing or dead.
+    /// Fraction of the outcomes that are failing or dead; 0 without outcomes.
     pub fn bad_fraction(&self) -> f64 {
         self.bad() / self.total().max(MIN_TOTAL)
     }
 
-    /// Fraction of the outcomes that are dead.
+    /// Fraction of the outcomes that are dead; 0 without outcomes.
     pub fn dead_fraction(&self) -> f64 {
         self.dead / self.total().max(MIN_TOTAL)
     }
 
-    /// The sums multiplied by `factor`.
+    /// All numbers multiplied by `factor`, as by a decay.
     #[must_use]
     pub fn scaled(self, factor: f64) -> OutcomeSums {
         OutcomeSums {
@@ -77,7 +77,6 @@
         self.scaled((max / self.total().max(MIN_TOTAL)).min(1.0))
     }
 
-    /// Counts one outcome.
     fn count(&mut self, observation: Observation) {
         let sum = match observation {
             Observation::Good => &mut self.good,
--- a/crates/zone-failover/src/transition.rs
+++ b/crates/zone-failover/src/transition.rs
@@ -13,9 +13,9 @@
     Ejected(OutcomeSums),
     /// Ejected because most of the fleet has ejected the zone.
     AdoptedEjection(OutcomeSums),
-    /// The zone begins to return.
+    /// Begins to return, because canary requests succeed or most of the fleet uses the zone.
     Returning(OutcomeSums),
-    /// The zone failed during its return.
+    /// Ejected again, because the zone failed during its return.
     EjectedAgain {
         /// Minimum time until the next return.
         ejection_time: TimeSpan,
@@ -29,9 +29,9 @@
 /// A phase transition together with its zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneTransition {
-    /// The zone's name.
+    /// The zone's name, as in [`Start::zone_names`](crate::Start::zone_names).
     pub zone: String,
-    /// The transition of its phase.
+    /// What changed, with the outcomes that the fleet observed.
     pub transition: Transition,
 }
 
--- a/crates/zone-failover/src/zone_state.rs
+++ b/crates/zone-failover/src/zone_state.rs
@@ -55,7 +55,7 @@
 }
 
 impl ZoneState {
-    /// A zone in full use.
+    /// Creates the state of a zone that has never failed and is in full use.
     pub(crate) fn new(now: Timestamp) -> Self {
         ZoneState {
             phase: ZonePhase::InUse,
@@ -78,7 +78,6 @@
         now - self.phase_began_at
     }
 
-    /// Minimum time for which the zone stays ejected.
     pub(crate) fn ejection_time(&self) -> TimeSpan {
         self.ejection_time
     }
