--- a/crates/startup-scheduler/src/cohort.rs
+++ b/crates/startup-scheduler/src/cohort.rs
@@ -62,7 +62,7 @@
 }
 
 impl StartCohort {
-    /// An empty cohort.
+    /// Creates the cohort of a node that knows no other starting node yet.
     pub(crate) fn new(fleet_size: u32, node: NodeId) -> Self {
         let bitmap = vec![0; (fleet_size as usize).div_ceil(8)];
         let ranks = u64::from(fleet_size.max(1));
@@ -121,7 +121,8 @@
         true
     }
 
-    /// Merges a peer's message.
+    /// Adds the nodes that a peer's message lists. A message that lists as many nodes of its slice as are known, and no new
+    /// one, counts towards completeness.
     pub(crate) fn merge(&mut self, message: &CohortMessage) {
         // A slice beyond the fleet's size comes from another fleet. Dropping it also prevents an overflow of the node ids
         // below.
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Whether the cohort counts as completely known, because peers repeat what is known here.
+    /// Whether the cohort counts as completely known, because the last messages of peers listed only known nodes.
     pub(crate) fn is_complete(&self) -> bool {
         // Scaled by the number of slices, since a message on one slice is no evidence about another.
         self.unchanged_messages
--- a/crates/startup-scheduler/src/cohort_message.rs
+++ b/crates/startup-scheduler/src/cohort_message.rs
@@ -20,13 +20,13 @@
 /// One slice of the start cohort. Bit `i` of byte `n` represents the node `first_node + 8 * n + i`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CohortMessage {
-    /// The first node of the slice.
+    /// Id of the first node of the slice, a multiple of 640.
     pub first_node: u32,
     /// When the last known node of the cohort started, Unix time in milliseconds; 0 if unknown.
     pub last_start_unix_ms: u64,
-    /// Bitmap of the nodes that started recently.
+    /// Bitmap of the nodes that started recently, at most 80 bytes.
     pub started: Vec<u8>,
-    /// Bitmap of those among them that started without an endpoint list.
+    /// Bitmap of those among them that started without an endpoint list, of the same length.
     pub without_list: Vec<u8>,
 }
 
@@ -36,7 +36,7 @@
         text.starts_with(TAG)
     }
 
-    /// Encodes the message.
+    /// Encodes the message as one line of at most 256 bytes, if it covers at most one slice.
     pub fn encode(&self) -> String {
         format!(
             "{TAG} {} {} {} {}",
--- a/crates/startup-scheduler/src/event.rs
+++ b/crates/startup-scheduler/src/event.rs
@@ -7,7 +7,7 @@
 /// The state of a node's endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListState {
-    /// The node has no list.
+    /// The node has neither restored nor received a list, so it cannot serve.
     Missing,
     /// A list that an earlier process stored, with its revision; not yet confirmed by the list service.
     Restored(u64),
@@ -28,15 +28,15 @@
 /// Parameters of a node at its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Start {
-    /// The id of this node.
+    /// The id of this node; must be less than `fleet_size`.
     pub node: NodeId,
-    /// Number of nodes in the fleet.
+    /// Number of nodes in the fleet, this one included; 0 counts as 1.
     pub fleet_size: u32,
     /// State of the node's list at the start.
     pub list: ListState,
-    /// Seed of the random number generator.
+    /// Seed of the generator that chooses peers and retry times. Should differ between nodes, so that their choices do.
     pub seed: u64,
-    /// Time of the start.
+    /// Time of the start, from which windows and the gossip period are counted.
     pub now: Timestamp,
     /// Unix time of this node's timestamp origin. Nodes exchange Unix times, since their origins differ.
     pub unix_time_of_origin: TimeSpan,
@@ -53,16 +53,16 @@
     pub retry_after: Option<TimeSpan>,
 }
 
-/// An input of the scheduler.
+/// What happened, for [`StartupScheduler::handle`](crate::StartupScheduler::handle).
 #[derive(Clone, Debug)]
 pub enum Input {
     /// The node started, or another list service was configured. The scheduler queries peers to find starting nodes.
     Started,
     /// A message of a peer arrived.
     MessageReceived {
-        /// The sender.
+        /// The sender. The message is ignored if it is this node or outside the fleet.
         from: NodeId,
-        /// The decoded message.
+        /// The message, which the caller has decoded.
         message: Message,
     },
     /// Timer tick: a cohort message may be due. Expected every few tens of milliseconds while
@@ -94,7 +94,6 @@
 }
 
 impl Output {
-    /// An output with messages only.
     pub(crate) fn messages(messages: Vec<OutgoingMessage>) -> Self {
         Output {
             messages,
@@ -102,7 +101,6 @@
         }
     }
 
-    /// An output with the time of the next call only.
     pub(crate) fn next_call_at(time: Timestamp) -> Self {
         Output {
             messages: Vec::new(),
@@ -114,9 +112,9 @@
 /// Summary of the nodes known to start together with this one, including itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CohortSummary {
-    /// Number of nodes.
+    /// Number of nodes, at least 1.
     pub started: u32,
-    /// Number of these nodes that started without a list.
+    /// Number of those nodes that started without a list.
     pub without_list: u32,
     /// Whether the cohort counts as completely known; otherwise there may be more nodes.
     pub is_complete: bool,
--- a/crates/startup-scheduler/src/message.rs
+++ b/crates/startup-scheduler/src/message.rs
@@ -21,7 +21,7 @@
         StatusMessage::matches(text) || CohortMessage::matches(text)
     }
 
-    /// Encodes the message.
+    /// Encodes the message as one line of ASCII text.
     pub fn encode(&self) -> String {
         match self {
             Message::Status(message) => message.encode(),
--- a/crates/startup-scheduler/src/scheduler.rs
+++ b/crates/startup-scheduler/src/scheduler.rs
@@ -73,7 +73,7 @@
 }
 
 impl StartupScheduler {
-    /// Creates the scheduler of a node that starts at `start.now`.
+    /// Creates the scheduler of a node that starts at `start.now`. [`Input::Started`] must follow.
     pub fn new(settings: &Settings, start: Start) -> Self {
         let fleet_size = start.fleet_size.max(1);
         StartupScheduler {
@@ -141,7 +141,7 @@
             .is_some_and(|overloaded_at| now - overloaded_at < OVERLOAD_DURATION)
     }
 
-    /// The nodes known to be starting together, including this one.
+    /// Counts of the nodes known to be starting together, including this one, for logging.
     pub fn cohort_summary(&self) -> CohortSummary {
         let known = self.cohort.counts();
         CohortSummary {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// The state of the node's endpoint list.
+    /// The state of the node's endpoint list, as changed by answers of the list service.
     pub fn list(&self) -> ListState {
         self.list
     }
--- a/crates/startup-scheduler/src/scheduler/cohort_size.rs
+++ b/crates/startup-scheduler/src/scheduler/cohort_size.rs
@@ -4,7 +4,7 @@
 
 /// Fraction of the queried peers without a reply that count as starting. Either the peer is not up yet or a datagram was
 /// lost, and the two cases cannot be distinguished.
-const SILENT_PEERS_STARTING_FRACTION: f64 = 0.5;
+const MISSING_REPLIES_STARTING_FRACTION: f64 = 0.5;
 
 impl StartupScheduler {
     /// Number of nodes that start together: the known nodes if the cohort is complete, and otherwise the greater of the
@@ -56,9 +56,11 @@
     }
 
     /// Each of `m` starting nodes queries `queried` random peers, so a node receives `q = m * queried / fleet_size` queries
-    /// on average, and `m = q * fleet_size / queried`. `q` is measured in two places, and the greater value counts: on the
-    /// replying peers, where one of the queries is this node's own, and on this node, where up to `queried` of the starting
-    /// peers became known by their replies instead of by queries.
+    /// on average, and `m = q * fleet_size / queried`.
+    ///
+    /// There are two values of `q`, of which the greater one counts. The replying peers report how many queries they
+    /// received; one of each was this node's own and is not counted. This node received queries itself: it knows the
+    /// starting peers, but up to `queried` of them became known by their replies instead of by queries.
     ///
     /// Test: `cohort_size_is_estimated_from_replies_queries_and_missing_replies`.
     fn size_from_queries(&self, queried: f64) -> f64 {
@@ -74,11 +76,11 @@
     }
 
     /// Peers that do not reply may be starting and not up yet: if `s` of `queried` peers do not reply, the estimate is
-    /// [`SILENT_PEERS_STARTING_FRACTION`] of `s / queried * fleet_size`.
+    /// `s / queried * fleet_size` times [`MISSING_REPLIES_STARTING_FRACTION`].
     ///
     /// Test: `cohort_size_is_estimated_from_replies_queries_and_missing_replies`.
     fn size_from_missing_replies(&self, queried: f64) -> f64 {
-        let silent = (queried - self.replies.len() as f64).max(0.0);
-        silent * SILENT_PEERS_STARTING_FRACTION / queried * f64::from(self.fleet_size)
+        let missing = (queried - self.replies.len() as f64).max(0.0);
+        missing * MISSING_REPLIES_STARTING_FRACTION / queried * f64::from(self.fleet_size)
     }
 }
--- a/crates/startup-scheduler/src/status_message.rs
+++ b/crates/startup-scheduler/src/status_message.rs
@@ -19,10 +19,10 @@
 /// Maximum age of a node in tenths of a second: about 3,500 years.
 const MAX_AGE_DECISECONDS: u64 = 1 << 40;
 
-/// The sender's own state.
+/// The sender's own state, as a query to a peer or as the reply to one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatusMessage {
-    /// The sender has just started and requests a status message in reply.
+    /// Whether the sender has just started and requests a status message in reply.
     pub wants_reply: bool,
     /// Time since the sender started, in tenths of a second.
     pub age_deciseconds: u64,
@@ -30,7 +30,7 @@
     pub revision: Option<u64>,
     /// Whether the list service has confirmed that list since the sender started.
     pub confirmed: bool,
-    /// Whether the list service recently rejected a call.
+    /// Whether the list service recently rejected a call, as far as the sender knows from its own calls and from peers.
     pub overloaded: bool,
     /// Number of peers that recently reported their start to the sender.
     pub starting_peers: u32,
@@ -42,7 +42,7 @@
         text.starts_with(TAG)
     }
 
-    /// Encodes the message.
+    /// Encodes the message as one line of ASCII text.
     pub fn encode(&self) -> String {
         let flags = [
             (self.wants_reply, FLAG_WANTS_REPLY),
