--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -55,7 +55,7 @@
     }
 
     /// Decides whether the request counts as within the quota. Beyond the quota it is rejected, unless
-    /// [`is_paid_excess`](Self::is_paid_excess) applies.
+    /// [`admits_over_quota`](Self::admits_over_quota) applies.
     fn decide_quota(
         &self,
         context: &mut Context<'_>,
@@ -70,7 +70,7 @@
         let within_quota = self
             .quotas
             .decide_within_quota(context, customer, request, latency);
-        if within_quota || self.is_paid_excess(context, request) {
+        if within_quota || self.admits_over_quota(context, request) {
             Ok(within_quota)
         } else {
             Err(Rejection::CustomerLimit)
@@ -79,12 +79,13 @@
 
     /// Returns true if the plan gives requests beyond the quota more weight than they cost and there is capacity to
     /// spare: F0 is in force and, in a large fleet, queues are short.
-    fn is_paid_excess(&self, context: &Context<'_>, request: &Request) -> bool {
+    fn admits_over_quota(&self, context: &Context<'_>, request: &Request) -> bool {
         let plan = context.plan(request.plan);
-        let is_paid = plan.over_quota_weight_fraction > plan.over_quota_penalty_fraction;
+        let earns_more_than_it_costs =
+            plan.over_quota_weight_fraction > plan.over_quota_penalty_fraction;
         let has_spare_capacity = !context.is_large_fleet()
             || self.overload.relative_queueing_time(context) < MAX_SPARE_QUEUEING;
-        is_paid && self.overload.admits_all() && has_spare_capacity
+        earns_more_than_it_costs && self.overload.admits_all() && has_spare_capacity
     }
 
     fn check_ceiling(
--- a/src/decision/endpoints/health.rs
+++ b/src/decision/endpoints/health.rs
@@ -11,10 +11,10 @@
 pub(super) const MIN_HEALTH_WEIGHT: f64 = 0.02;
 /// Health weight at or below which failures are attributed to the endpoint itself, not to overload.
 const MIN_HEALTHY_WEIGHT: f64 = 0.7;
-/// Sum of the waits for responses, in usual latencies, above which an endpoint can count as silent.
+/// Sum of the waits for responses, in usual latencies, above which an endpoint can count as unresponsive.
 const MAX_OVERDUE: f64 = 6.0;
-/// Time without any response above which an endpoint whose responses are overdue counts as silent.
-const MAX_SILENCE: TimeSpan = TimeSpan::from_seconds(0.25);
+/// Time without any response above which an endpoint whose responses are overdue counts as unresponsive.
+const MAX_TIME_WITHOUT_RESPONSE: TimeSpan = TimeSpan::from_seconds(0.25);
 /// Minimum usual latency that a wait is divided by.
 const MIN_OVERDUE_LATENCY: TimeSpan = TimeSpan::from_seconds(0.02);
 
@@ -37,12 +37,16 @@
         self.consecutive_failures == 0 && weight > MIN_HEALTHY_WEIGHT
     }
 
-    /// Returns true if the endpoint gets only [`MIN_HEALTH_WEIGHT`]: it is ejected, or silent while responses are
-    /// overdue.
+    /// Returns true if the endpoint gets only [`MIN_HEALTH_WEIGHT`]: it is ejected, or it has not responded for some
+    /// time while responses are overdue.
     ///
     /// Many slightly overdue responses count as much as one long overdue response. As a side effect, all endpoints
-    /// briefly count as silent when all requests of a class slow down at once.
-    pub(super) fn is_ejected_or_silent(&self, now: Timestamp, latency: &LatencyEstimator) -> bool {
+    /// briefly count as unresponsive when all requests of a class slow down at once.
+    pub(super) fn is_ejected_or_unresponsive(
+        &self,
+        now: Timestamp,
+        latency: &LatencyEstimator,
+    ) -> bool {
         if self.is_ejected(now) {
             return true;
         }
@@ -51,7 +55,7 @@
             let usual = latency.usual(attempt.kind()) * self.latency_factor;
             waited / usual.max(MIN_OVERDUE_LATENCY)
         };
-        self.silence(now) > MAX_SILENCE
+        self.time_without_response(now) > MAX_TIME_WITHOUT_RESPONSE
             && self.in_flight.iter().map(overdue).sum::<f64>() > MAX_OVERDUE
     }
 }
--- a/src/decision/endpoints/record.rs
+++ b/src/decision/endpoints/record.rs
@@ -144,7 +144,7 @@
     }
 
     /// Time without a response while attempts are in flight.
-    pub(super) fn silence(&self, now: Timestamp) -> TimeSpan {
+    pub(super) fn time_without_response(&self, now: Timestamp) -> TimeSpan {
         self.in_flight
             .iter()
             .map(InFlightAttempt::sent_at)
--- a/src/decision/endpoints/selection.rs
+++ b/src/decision/endpoints/selection.rs
@@ -230,7 +230,7 @@
     }
 }
 
-/// Health weight of an endpoint, at least [`MIN_HEALTH_WEIGHT`], which is also the weight of an ejected or silent
+/// Health weight of an endpoint, at least [`MIN_HEALTH_WEIGHT`], which is also the weight of an ejected or unresponsive
 /// one.
 fn selection_health(
     context: &Context<'_>,
@@ -238,7 +238,7 @@
     record: &EndpointRecord,
     load: &SelectionLoad<'_>,
 ) -> f64 {
-    if record.is_ejected_or_silent(context.now(), load.latency) {
+    if record.is_ejected_or_unresponsive(context.now(), load.latency) {
         return MIN_HEALTH_WEIGHT;
     }
     let health = HealthContext::new(context, load.rate_time_constant);
--- a/src/decision/overload/pool.rs
+++ b/src/decision/overload/pool.rs
@@ -8,7 +8,7 @@
 use crate::decision::decaying_rate::DecayingRate;
 
 /// Minimum rate of recent messages, per second, at which the pool counts as representing more than one peer.
-const MIN_POOLED_MESSAGES: f64 = 1.0;
+const MIN_POOLED_MESSAGES_PER_SECOND: f64 = 1.0;
 /// Time constant of pooled statistics: about the length of the ladder's history.
 const POOL_TIME_CONSTANT: TimeSpan = TimeSpan::from_seconds(1.0);
 /// Time constant with which the known capacity falls: longer than endpoints take to recover from an overload, shorter
@@ -109,9 +109,9 @@
         &self.received
     }
 
-    /// Returns true if messages arrive at a rate of at least [`MIN_POOLED_MESSAGES`].
+    /// Returns true if messages arrive at a rate of at least [`MIN_POOLED_MESSAGES_PER_SECOND`].
     pub(super) fn has_recent_messages(&self, now: Timestamp) -> bool {
-        self.messages.read(now, RATE_TIME_CONSTANT) >= MIN_POOLED_MESSAGES
+        self.messages.read(now, RATE_TIME_CONSTANT) >= MIN_POOLED_MESSAGES_PER_SECOND
     }
 
     /// Work per second that the endpoints complete for one node. Computed from the number of ready endpoints and the
--- a/src/decision/quota/ledger.rs
+++ b/src/decision/quota/ledger.rs
@@ -56,7 +56,7 @@
 
     /// Returns the entry of a customer that is known to exist: [`Self::record_request`] has created that of a request's
     /// customer.
-    pub(super) fn known(&self, customer: CustomerFingerprint) -> &CustomerQuota {
+    pub(super) fn existing_entry(&self, customer: CustomerFingerprint) -> &CustomerQuota {
         &self.customers[&customer]
     }
 
--- a/src/decision/quota/limits.rs
+++ b/src/decision/quota/limits.rs
@@ -51,7 +51,7 @@
         request: &Request,
         latency: RequestLatency,
     ) -> bool {
-        let customer = self.known(customer);
+        let customer = self.existing_entry(customer);
         let plan = context.plan(request.plan);
         let max_rate = if customer.ceiling.has_reserve() {
             max_concurrency_rate(plan, latency.with_queueing)
@@ -82,7 +82,9 @@
         request: &Request,
     ) -> bool {
         let plan = context.plan(request.plan);
-        self.known(customer).ceiling.admits(request.units, plan)
+        self.existing_entry(customer)
+            .ceiling
+            .admits(request.units, plan)
     }
 }
 
--- a/src/decision/quota/reports.rs
+++ b/src/decision/quota/reports.rs
@@ -53,7 +53,7 @@
             let Some(report) = self.take_report(context, customer) else {
                 continue;
             };
-            for aggregator in self.known(customer).aggregators.ranked() {
+            for aggregator in self.existing_entry(customer).aggregators.ranked() {
                 if *aggregator != context.node() {
                     by_peer
                         .entry(*aggregator)
