--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: the checks that a request passes before its first attempt, in order.
+//! Admission: the checks that a request has to pass before its first attempt, in order.
 
 use applewall_node_types::TimeSpan;
 
@@ -19,15 +19,15 @@
 
 /// The components of the policy that admission uses.
 pub(super) struct Admission<'a> {
-    /// Quota, ceiling and concurrency limit. The request has already been recorded there.
+    /// Decides by quota, ceiling and concurrency limit. The request has already been recorded there.
     pub(super) quotas: &'a QuotaLedger,
-    /// Backlog limit and ladder, which count the request.
+    /// Decides by backlog limit and ladder, which count the request.
     pub(super) overload: &'a mut OverloadControl,
-    /// Cost of the request.
+    /// Estimates the cost of the request.
     pub(super) latency: &'a LatencyEstimator,
-    /// Work in flight.
+    /// Determines the work in flight, which the backlog limit compares.
     pub(super) pending: &'a PendingRequests,
-    /// The endpoints, whose number bounds the backlog.
+    /// Determines the number of ready endpoints, on which the backlog limit depends.
     pub(super) endpoints: &'a EndpointTable,
 }
 
@@ -54,8 +54,8 @@
         Ok(PendingRequest::new(context.now(), request, admitted))
     }
 
-    /// Decides whether the request counts as within the quota. Beyond the quota it may be sent only if the plan pays
-    /// for it.
+    /// Decides whether the request counts as within the quota. Beyond the quota it is rejected, unless
+    /// [`admits_over_quota`](Self::admits_over_quota) applies.
     fn decide_quota(
         &self,
         context: &mut Context<'_>,
@@ -70,20 +70,22 @@
         let within_quota = self
             .quotas
             .decide_within_quota(context, customer, request, latency);
-        if within_quota || self.is_paid_excess(context, request) {
+        if within_quota || self.admits_over_quota(context, request) {
             Ok(within_quota)
         } else {
             Err(Rejection::CustomerLimit)
         }
     }
 
-    /// Returns true if a request beyond the quota earns more weight than it costs and there is capacity to spare.
-    fn is_paid_excess(&self, context: &Context<'_>, request: &Request) -> bool {
+    /// Returns true if the plan gives requests beyond the quota more weight than they cost and there is capacity to
+    /// spare: F0 is in force and, in a large fleet, queues are short.
+    fn admits_over_quota(&self, context: &Context<'_>, request: &Request) -> bool {
         let plan = context.plan(request.plan);
-        let is_paid = plan.over_quota_weight_fraction > plan.over_quota_penalty_fraction;
+        let earns_more_than_it_costs =
+            plan.over_quota_weight_fraction > plan.over_quota_penalty_fraction;
         let has_spare_capacity = !context.is_large_fleet()
             || self.overload.relative_queueing_time(context) < MAX_SPARE_QUEUEING;
-        is_paid && self.overload.admits_all() && has_spare_capacity
+        earns_more_than_it_costs && self.overload.admits_all() && has_spare_capacity
     }
 
     fn check_ceiling(
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Counts the request in the load and takes its cost from its tier, unless the backlog limit or the filter in
-    /// force rejects it.
+    /// Counts the request in the load, and rejects it if it exceeds the backlog limit or if the filter in force does
+    /// not admit it.
     fn charge_load(
         &mut self,
         context: &mut Context<'_>,
