--- a/crates/startup-scheduler/src/cohort.rs
+++ b/crates/startup-scheduler/src/cohort.rs
@@ -13,8 +13,8 @@
 /// Distance between the ranks of nodes with consecutive ids, as a fraction of the fleet's size. The inverse of the golden
 /// ratio spreads any run of consecutive ids evenly (Fibonacci hashing).
 const INVERSE_GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
-/// Number of consecutive messages per slice that list no new node, and at least as many nodes as are known, after which the
-/// cohort counts as complete. A single one may come from a peer that knows as little as this node.
+/// Number of consecutive messages, per slice, after which the cohort counts as complete: messages that list at least as many
+/// nodes as are known, and no new one. A single one may come from a peer that knows as little as this node.
 const UNCHANGED_MESSAGES_PER_SLICE: u32 = 2;
 
 /// Sizes of the two sets.
--- a/crates/startup-scheduler/src/scheduler/call_times.rs
+++ b/crates/startup-scheduler/src/scheduler/call_times.rs
@@ -21,14 +21,14 @@
 const QUICK_RETRY_WINDOW_FRACTION: f64 = 0.2;
 /// Maximum number of consecutive quick retries before a node waits for its slot again.
 const MAX_QUICK_RETRIES: u32 = 1;
-/// The same maximum for a window that is based on an estimate of the cohort's size: the window may be too short, so that
-/// more calls are rejected.
+/// Maximum number of consecutive quick retries in a window that is based on an estimate of the cohort's size: the window may
+/// be too short, so that more calls are rejected.
 const MAX_QUICK_RETRIES_ESTIMATED: u32 = 2;
 /// Minimum duration of a call that counts as queued by the service. A recovering service rejects all queued calls at the
 /// same time, so their nodes must not retry quickly.
 const MIN_QUEUED_CALL_DURATION: TimeSpan = TimeSpan::from_seconds(0.1);
 /// Maximum number of fleet windows over which a node with a list spreads its retry. The number starts at one and doubles
-/// with each failure; four limit the age of the list that the node serves from.
+/// with each failure. The maximum bounds the age of the list that the node serves from.
 const MAX_BACKOFF_WINDOWS: f64 = 4.0;
 /// Maximum number of consecutive failures that are counted. Limits the backoff exponent, which shifts a 32-bit number.
 const MAX_COUNTED_FAILURES: u32 = 16;
--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -4,7 +4,7 @@
 
 use super::{EndpointId, NodeId, RequestId};
 
-/// An output of the policy, which the node executes.
+/// What the node has to do after an event, in the order in which the policy returned the actions.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the next attempt of a request. The caller numbers the attempts of a request from 0 in this order.
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -4,7 +4,7 @@
 
 use super::{AttemptResult, Endpoint, EndpointUpdateKind, NodeId, Request, RequestId};
 
-/// An input of the policy.
+/// What happened, for [`DecisionPolicy::handle`](crate::decision::DecisionPolicy::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An update of the endpoint list.
--- a/src/decision/endpoints/slow_start.rs
+++ b/src/decision/endpoints/slow_start.rs
@@ -19,7 +19,8 @@
 const INITIAL_FRACTION: f64 = 0.3;
 /// Number of windows of budget for an endpoint returned to service, which has to get its first attempt soon.
 const RETURNED_WINDOWS: f64 = 2.0;
-/// Mean fraction by which the attempts within a window count against the budget: it falls from 1 to 0 with their age.
+/// Mean fraction by which the attempts within a window count against the budget. The fraction of an attempt falls from
+/// 1 to 0 with its age.
 const MEAN_COUNTED_FRACTION: f64 = 0.5;
 /// Minimum duration of slow start as a divisor.
 const MIN_SLOW_START: TimeSpan = TimeSpan::from_seconds(1e-9);
@@ -55,8 +56,11 @@
     /// That fraction is drawn once per window: if it were drawn per request, many requests would pass.
     ///
     /// An attempt counts by how late in the window it was sent, since the endpoint regains the capacity evenly. The
-    /// attempts are therefore compared with half of the budget. A process that has just started does not know the
-    /// attempts of an earlier one, so most of its first window becomes available only over time.
+    /// attempts are therefore compared with half of the budget. If the budget is less than [`MAX_COUNTED_REQUESTS`],
+    /// the attempts within the window are counted in full instead.
+    ///
+    /// A process that has just started does not know the attempts of an earlier one, so most of its first window
+    /// becomes available only over time.
     pub(super) fn remaining_budget(
         &self,
         context: &Context<'_>,
--- a/src/decision/overload/mod.rs
+++ b/src/decision/overload/mod.rs
@@ -3,7 +3,7 @@
 //! [`OverloadControl`] owns the ladder (`ladder`, `tiers`), the statistics that the nodes of a large fleet pool
 //! (`pool`) and the rate of arriving requests. Outcomes of attempts are passed in as [`LoadStatistics`]. Once per
 //! monitor interval, a load index is computed from them (`load_index`), which may change the filter in force by one
-//! step. The backlog limit (`backlog`) is checked for each request.
+//! step. The backlog limit (`backlog`) is checked for each request that its customer's limits admit.
 
 mod backlog;
 mod ladder;
--- a/src/decision/quota/customer.rs
+++ b/src/decision/quota/customer.rs
@@ -51,7 +51,7 @@
     /// Estimated units in the quota over all nodes; negative for a debt.
     pub(super) quota_units: f64,
     pub(super) ceiling: Ceiling,
-    /// Whether it is in [`QuotaLedger::unreported`](super::ledger::QuotaLedger::unreported).
+    /// Whether it is queued in [`QuotaLedger::unreported`](super::ledger::QuotaLedger::unreported), to be reported.
     pub(super) unreported: bool,
     /// When the quota and the ceiling were last refilled.
     pub(super) refilled_at: Timestamp,
