--- a/crates/fault-testbed/src/capacity/tests.rs
+++ b/crates/fault-testbed/src/capacity/tests.rs
@@ -13,7 +13,8 @@
     overload_window_seconds: 3.0,
 };
 
-/// Whether a server that starts at 100 survives so many requests a second, from a second after that on.
+/// Whether a server that started at 100 s survives `rate` requests per second for ten seconds, beginning `from` seconds after
+/// its start.
 fn survives(rate: f64, from: f64) -> bool {
     let mut tracker = OverloadTracker::new(MODEL, 100.0);
     (0..(10.0 * rate) as u32).all(|number| {
@@ -27,7 +28,7 @@
     let capacity = MODEL.requests_per_second(0.0);
     assert!((4.7..4.8).contains(&capacity), "{capacity}");
     assert!(survives(2.0 * capacity, 0.0) && !survives(4.5 * capacity, 0.0));
-    // Ten seconds later its capacity is higher, and warm it survives anything.
+    // Ten seconds after the start its capacity is higher; after the warm-up no load makes it fail.
     assert!(survives(4.5 * capacity, 10.0) && survives(100.0, 15.0));
     assert_eq!(MODEL.requests_per_second(20.0), 25.0);
     let tracker = OverloadTracker::new(MODEL, 0.0);
--- a/crates/fault-testbed/src/environment/faults/ingresses.rs
+++ b/crates/fault-testbed/src/environment/faults/ingresses.rs
@@ -56,7 +56,7 @@
                 self.signal(&numbers, libc::SIGHUP);
                 no_end()
             }
-            IngressFault::Hold => {
+            IngressFault::SuspendBriefly => {
                 self.signal(&numbers, libc::SIGSTOP);
                 Box::new(move || self.signal(&numbers, libc::SIGCONT))
             }
--- a/crates/fault-testbed/src/environment/faults/instances.rs
+++ b/crates/fault-testbed/src/environment/faults/instances.rs
@@ -19,7 +19,7 @@
             InstanceFault::Restart => self.restart_instances(&numbers),
             InstanceFault::Replace => self.replace_instances(&numbers).await,
             InstanceFault::Remove => self.remove_instances(&numbers),
-            InstanceFault::BreakResponses => {
+            InstanceFault::TruncateResponses => {
                 self.break_responses(&numbers, true);
                 Box::new(move || self.break_responses(&numbers, false))
             }
@@ -34,7 +34,7 @@
                 self.fail_requests(&numbers, true);
                 Box::new(move || self.fail_requests(&numbers, false))
             }
-            InstanceFault::NeverAnswer => {
+            InstanceFault::NeverRespond => {
                 self.never_answer(&numbers, true);
                 Box::new(move || self.never_answer(&numbers, false))
             }
--- a/crates/fault-testbed/src/fault.rs
+++ b/crates/fault-testbed/src/fault.rs
@@ -1,9 +1,9 @@
-//! A fault as one line of a trial's file: when it begins, what it is, how long it lasts.
+//! Faults of a trial. Each is one line of the trial file: when it begins, what it does, how long it lasts.
 //!
 //! `at 2s: link ingress:zone=0 <-> list silent for 3s`, `when 12 listed: kill ingress:0.7 and start after 200ms old`,
 //! `at 1s: stop ingress:3 for 5s`, `at 0s: list turns away 0.9 for 4s`, `at 3s: restart instance:all`.
 //!
-//! This module holds the types, `parser` reads the line; `environment` carries faults out.
+//! This module defines the types, `parser` parses the line, and `environment` injects the faults.
 
 mod parser;
 
@@ -22,22 +22,22 @@
 /// When a fault begins.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Trigger {
-    /// So long after the start.
+    /// This time after the start of the trial.
     At(Duration),
-    /// Once so many ingresses have got a list.
+    /// Once this number of ingresses have received a list.
     Listed(usize),
-    /// Once so many requests have been served.
+    /// Once this number of requests have been served.
     Served(usize),
 }
 
-/// The list that an ingress starts with.
+/// The endpoint list that an ingress starts with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InitialList {
-    /// None.
+    /// No list.
     None,
-    /// The list as it was at the trial's start.
+    /// The list of the trial's start.
     Old,
-    /// The list as it is.
+    /// The list at the time of the ingress's start.
     Current,
 }
 
@@ -51,7 +51,7 @@
             "current" => Ok(InitialList::Current),
             found => Err(FaultError::Invalid {
                 found: found.to_string(),
-                expected: "none of none, old, current",
+                expected: "one of none, old, current",
             }),
         }
     }
@@ -60,54 +60,55 @@
 /// A fault of the list service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ListServiceFault {
-    /// Requests wait for a response.
+    /// Sends no responses until the fault ends.
     Silent,
-    /// Rejects this fraction of the requests at once.
+    /// Rejects this fraction of the requests.
     Rejects(f64),
-    /// Breaks the connection in the middle of this fraction of its responses.
+    /// Closes the connection in the middle of this fraction of its responses.
     Truncates(f64),
-    /// Its revisions go back, as after a restore from a backup.
+    /// Resets its revisions to a lower one, as after a restore from a backup.
     Restored,
 }
 
 /// A fault of limit servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceFault {
-    /// They start again and have to warm up.
+    /// They restart and have to warm up.
     Restart,
-    /// They are replaced by new ones under other ids, which have to warm up.
+    /// They are replaced by new ones with other ids, which have to warm up.
     Replace,
-    /// They stop for good; the list shows it.
+    /// They stop permanently and are removed from the list.
     Remove,
-    /// They answer 500 at once.
+    /// They respond to every request with 500 immediately.
     FailRequests,
-    /// They accept requests and never answer.
-    NeverAnswer,
-    /// The list shows that they drain; they stay up.
+    /// They accept requests and never respond.
+    NeverRespond,
+    /// The list reports them as draining; they keep running.
     Drain,
-    /// They break off each answer in the middle of its body.
-    BreakResponses,
+    /// They close the connection in the middle of the body of each response.
+    TruncateResponses,
 }
 
 /// A fault of the processes of ingresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IngressFault {
-    /// SIGKILL; they are started again, or not at all.
+    /// SIGKILL, followed by a restart if there is one.
     Kill(Option<Restart>),
-    /// SIGTERM; they are started again once they have ended, or not at all.
+    /// SIGTERM, followed by a restart after the exit if there is one.
     Terminate(Option<Restart>),
-    /// As the platform ends processes: SIGTERM among further signals, clients that use what stays open, and SIGKILL at the
-    /// earliest that is allowed; they are started again, or not at all.
+    /// A shutdown as the platform performs it: repeated SIGTERM and SIGHUP, clients that keep using the connections that the
+    /// ingress leaves open, and SIGKILL at the earliest time at which the platform sends it; followed by a restart if there is
+    /// one.
     ShutDown(Option<Restart>),
-    /// SIGHUP: they read their configuration again.
+    /// SIGHUP: they reload their configuration.
     Reload,
-    /// SIGSTOP until the fault's end. No rule requires responses of suspended processes.
+    /// SIGSTOP until the fault's end. The rules on responses do not apply to suspended processes.
     Suspend,
-    /// SIGSTOP for a moment, short enough that every rule still applies.
-    Hold,
+    /// SIGSTOP until the fault's end, short enough that all rules still apply.
+    SuspendBriefly,
 }
 
-/// A system call that may fail.
+/// A system call that a fault can make fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCall {
     /// `accept`
@@ -118,10 +119,10 @@
     Socket,
 }
 
-/// Restart of a process that was ended.
+/// Restart of a process after a fault has ended it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Restart {
-    /// Time after its end.
+    /// Time from its end to the restart.
     pub after: Duration,
     /// The list that the new process starts with.
     pub list: InitialList,
@@ -130,13 +131,13 @@
 /// What a fault does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// Sets a condition on the links between two sets.
+    /// Sets a condition on the links between two sets of components.
     Link {
         /// Senders.
         from: ComponentSet,
         /// Receivers.
         to: ComponentSet,
-        /// Applies to the opposite direction too.
+        /// True where it applies to the opposite direction too.
         both: bool,
         /// The condition.
         condition: LinkCondition,
@@ -145,16 +146,16 @@
     Ingresses {
         /// The ingresses.
         targets: ComponentSet,
-        /// What happens to their processes.
+        /// The fault of their processes.
         fault: IngressFault,
     },
-    /// Steps the wall clock of all ingresses and of the list service by so many milliseconds.
+    /// Steps the wall clock of all ingresses and of the list service by this number of milliseconds.
     StepWallClock(i64),
-    /// A system call of all ingresses fails once in so many times.
+    /// Makes every Nth call of a system call fail, in all ingresses.
     FailSystemCall {
         /// The call.
         call: SystemCall,
-        /// One call in so many.
+        /// The N of every Nth call.
         one_in: u32,
     },
     /// A fault of the list service.
@@ -163,14 +164,14 @@
     Instances {
         /// The limit servers.
         targets: ComponentSet,
-        /// What happens to them.
+        /// The fault.
         fault: InstanceFault,
     },
-    /// Ingresses get datagrams from an address that is no peer's.
+    /// Sends ingresses datagrams from an address that belongs to no peer.
     ForeignDatagrams(ComponentSet),
 }
 
-/// One fault.
+/// A fault of a trial, as the trial file has it.
 #[derive(Clone, Debug, PartialEq, JsonSchema)]
 #[schemars(transparent)]
 pub struct Fault {
--- a/crates/fault-testbed/src/fault/parser.rs
+++ b/crates/fault-testbed/src/fault/parser.rs
@@ -1,4 +1,4 @@
-//! Reads the line of a fault, token by token; an error names the first token that does not fit.
+//! Parses the line of a fault token by token; an error names the first token that is invalid.
 
 use std::iter::Peekable;
 use std::str::{FromStr, SplitWhitespace};
@@ -11,42 +11,42 @@
 use crate::network::LinkCondition;
 use crate::topology::{ComponentSet, ComponentSetError};
 
-/// Why a line is no fault.
+/// Why a line cannot be parsed as a fault.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FaultError {
     /// The line has no trigger.
-    #[error("a fault is 'at TIME: ...' or 'when N listed: ...'")]
+    #[error("a fault has the form 'at TIME: ...', 'when N listed: ...' or 'when N served: ...'")]
     NoTrigger,
-    /// The line ends too early.
+    /// The line ends before the fault is complete.
     #[error("{0} is missing at the end")]
     Missing(String),
-    /// A fixed token is not where it has to be.
-    #[error("'{found}' stands where '{expected}' should")]
+    /// Another token than the only one that is allowed there.
+    #[error("found '{found}' where '{expected}' is expected")]
     Unexpected {
         /// The token that was found.
         found: String,
-        /// The token that has to be there.
+        /// The only token that is allowed there.
         expected: &'static str,
     },
-    /// A token has none of the values that are possible there.
-    #[error("'{found}' is {expected}")]
+    /// A token has none of the values that are allowed there.
+    #[error("'{found}' is not {expected}")]
     Invalid {
         /// The token that was found.
         found: String,
-        /// What it is not.
+        /// The values that are allowed there.
         expected: &'static str,
     },
-    /// A fraction out of its range.
-    #[error("{0} is no share from 0 to 1")]
+    /// A fraction is out of range.
+    #[error("{0} is not a fraction from 0 to 1")]
     Fraction(f64),
-    /// A link fault without a condition.
-    #[error("it says nothing of what the link does")]
+    /// A link fault has no condition.
+    #[error("the link fault has no condition, such as silent, reset or loss 0.5")]
     NoCondition,
-    /// A set of components that cannot be read.
+    /// A set of components is invalid.
     #[error(transparent)]
     Components(#[from] ComponentSetError),
-    /// A token behind the end of the fault.
-    #[error("'{0}' is too much")]
+    /// A token follows the end of the fault.
+    #[error("unexpected '{0}' after the end of the fault")]
     Trailing(String),
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// The tokens of a fault that are still to be read.
+/// The remaining tokens of a fault.
 struct Tokens<'a>(Peekable<SplitWhitespace<'a>>);
 
 impl<'a> Tokens<'a> {
@@ -65,7 +65,7 @@
         Tokens(text.split_whitespace().peekable())
     }
 
-    /// The next token; `description` names it in the error where it is missing.
+    /// The next token; `description` describes it in the error if it is missing.
     fn next(&mut self, description: &str) -> Result<&'a str, FaultError> {
         self.0
             .next()
@@ -92,16 +92,17 @@
     }
 
     fn components(&mut self) -> Result<ComponentSet, FaultError> {
-        Ok(self.next("a set of parts")?.parse()?)
+        Ok(self.next("a set of components")?.parse()?)
     }
 
     fn duration(&mut self) -> Result<Duration, FaultError> {
-        let token = self.next("a time")?;
-        humantime::parse_duration(token).map_err(|_| invalid(token, "no time such as 250ms or 2s"))
+        let token = self.next("a duration")?;
+        humantime::parse_duration(token)
+            .map_err(|_| invalid(token, "a duration such as 250ms or 2s"))
     }
 
     fn fraction(&mut self) -> Result<f64, FaultError> {
-        let fraction: f64 = self.number("share", "no share")?;
+        let fraction: f64 = self.number("a fraction", "a fraction from 0 to 1")?;
         if (0.0..=1.0).contains(&fraction) {
             Ok(fraction)
         } else {
@@ -122,10 +123,10 @@
                 "spread" => condition.jitter = self.duration()?,
                 "rate" => {
                     let rate =
-                        self.number("rate in bytes a second", "no rate in bytes a second")?;
+                        self.number("a rate in bytes per second", "a rate in bytes per second")?;
                     condition.bytes_per_second = Some(rate);
                 }
-                found => return Err(invalid(found, "nothing that a link does")),
+                found => return Err(invalid(found, "a condition of a link")),
             }
         }
         if condition == LinkCondition::default() {
@@ -139,7 +140,7 @@
         let both = match self.next("-> or <->")? {
             "->" => false,
             "<->" => true,
-            found => return Err(invalid(found, "neither -> nor <->")),
+            found => return Err(invalid(found, "-> or <->")),
         };
         Ok(FaultKind::Link {
             from,
@@ -154,7 +155,7 @@
         Ok(FaultKind::Ingresses { targets, fault })
     }
 
-    /// A fault that ends processes; they may be started again.
+    /// A fault that ends processes, with an optional restart.
     fn ingresses_with_restart(
         &mut self,
         fault: fn(Option<Restart>) -> IngressFault,
@@ -171,7 +172,9 @@
         self.expect("start")?;
         self.expect("after")?;
         let after = self.duration()?;
-        let list: InitialList = self.next("what it knows")?.parse()?;
+        let list: InitialList = self
+            .next("the initial list (none, old or current)")?
+            .parse()?;
         Ok(Some(Restart { after, list }))
     }
 
@@ -179,7 +182,7 @@
         let direction = match self.next("ahead or back")? {
             "ahead" => 1,
             "back" => -1,
-            found => return Err(invalid(found, "neither ahead nor back")),
+            found => return Err(invalid(found, "ahead or back")),
         };
         let step_ms = self.duration()?.as_millis() as i64;
         Ok(FaultKind::StepWallClock(direction * step_ms))
@@ -190,9 +193,9 @@
             "accept" => SystemCall::Accept,
             "connect" => SystemCall::Connect,
             "socket" => SystemCall::Socket,
-            found => return Err(invalid(found, "none of accept, connect, socket")),
+            found => return Err(invalid(found, "one of accept, connect, socket")),
         };
-        let one_in = self.number("one in so many", "no number")?;
+        let one_in = self.number("the number of calls of which one fails", "a number")?;
         Ok(FaultKind::FailSystemCall { call, one_in })
     }
 
@@ -202,7 +205,7 @@
     }
 
     fn list_service(&mut self) -> Result<ListServiceFault, FaultError> {
-        match self.next("what the list service does")? {
+        match self.next("a fault of the list service")? {
             "silent" => Ok(ListServiceFault::Silent),
             "breaks" => Ok(ListServiceFault::Truncates(self.fraction()?)),
             "goes" => self.expect("back").map(|()| ListServiceFault::Restored),
@@ -210,21 +213,21 @@
                 self.expect("away")?;
                 Ok(ListServiceFault::Rejects(self.fraction()?))
             }
-            found => Err(invalid(found, "nothing that the list service does")),
+            found => Err(invalid(found, "a fault of the list service")),
         }
     }
 
     fn kind(&mut self) -> Result<FaultKind, FaultError> {
-        match self.next("what it is")? {
+        match self.next("the kind of the fault")? {
             "link" => self.link(),
             "kill" => self.ingresses_with_restart(IngressFault::Kill),
             "term" => self.ingresses_with_restart(IngressFault::Terminate),
             "shutdown" => self.ingresses_with_restart(IngressFault::ShutDown),
             "reload" => self.ingresses(IngressFault::Reload),
-            "hold" => self.ingresses(IngressFault::Hold),
+            "hold" => self.ingresses(IngressFault::SuspendBriefly),
             "clock" => self.clock_step(),
             "calls" => self.failing_call(),
-            "spoil" => self.instances(InstanceFault::BreakResponses),
+            "spoil" => self.instances(InstanceFault::TruncateResponses),
             "drain" => self.instances(InstanceFault::Drain),
             "list" => self.list_service().map(FaultKind::ListService),
             "stop" => self.ingresses(IngressFault::Suspend),
@@ -233,28 +236,28 @@
             "remove" => self.instances(InstanceFault::Remove),
             "fails" => self.instances(InstanceFault::FailRequests),
             "foreign" => self.components().map(FaultKind::ForeignDatagrams),
-            "mute" => self.instances(InstanceFault::NeverAnswer),
-            found => Err(invalid(found, "no fault")),
+            "mute" => self.instances(InstanceFault::NeverRespond),
+            found => Err(invalid(found, "a known fault")),
         }
     }
 
     fn trigger(&mut self) -> Result<Trigger, FaultError> {
-        match self.next("when it comes")? {
+        match self.next("the trigger")? {
             "at" => self.duration().map(Trigger::At),
             "when" => {
-                let count = self.number("number", "no number")?;
+                let count = self.number("a number", "a number")?;
                 match self.next("listed or served")? {
                     "listed" => Ok(Trigger::Listed(count)),
                     "served" => Ok(Trigger::Served(count)),
-                    found => Err(invalid(found, "neither listed nor served")),
+                    found => Err(invalid(found, "listed or served")),
                 }
             }
-            found => Err(invalid(found, "neither at nor when")),
+            found => Err(invalid(found, "at or when")),
         }
     }
 }
 
-/// Reads a line.
+/// Parses the line of a fault.
 pub(super) fn parse(text: &str) -> Result<FaultSpec, FaultError> {
     let (trigger, effect) = text.split_once(": ").ok_or(FaultError::NoTrigger)?;
     let trigger = Tokens::of(trigger).trigger()?;
--- a/crates/fault-testbed/src/fault/tests.rs
+++ b/crates/fault-testbed/src/fault/tests.rs
@@ -34,14 +34,20 @@
         }
     ));
     for (wrong, why) in [
-        ("kill ingress:1", "a fault is"),
-        ("at two: kill ingress:1", "'two' is no time"),
-        ("when 3 eaten: kill ingress:1", "'eaten' is neither"),
-        ("at 1s: eat ingress:1", "'eat' is no fault"),
-        ("at 1s: link list -> clients", "it says nothing"),
-        ("at 1s: link list -> clients loss 2", "2 is no share"),
-        ("at 1s: list turns away 0.5 for ever", "'ever' is no time"),
-        ("at 1s: stop ingress:1 now", "'now' is too much"),
+        ("kill ingress:1", "a fault has the form"),
+        ("at two: kill ingress:1", "'two' is not a duration"),
+        (
+            "when 3 eaten: kill ingress:1",
+            "'eaten' is not listed or served",
+        ),
+        ("at 1s: eat ingress:1", "'eat' is not a known fault"),
+        ("at 1s: link list -> clients", "no condition"),
+        ("at 1s: link list -> clients loss 2", "2 is not a fraction"),
+        (
+            "at 1s: list turns away 0.5 for ever",
+            "'ever' is not a duration",
+        ),
+        ("at 1s: stop ingress:1 now", "unexpected 'now'"),
     ] {
         let error = read(wrong).expect_err(wrong);
         assert!(error.to_string().contains(why), "{wrong}: {error}");
--- a/crates/fault-testbed/src/journal.rs
+++ b/crates/fault-testbed/src/journal.rs
@@ -1,7 +1,7 @@
-//! The journal of a trial: every observed event in order, with its time; stored as JSON lines.
+//! The journal of a trial: every observed event with its time, stored as JSON lines.
 //!
 //! Input: events recorded by the proxies, fakes, clients and process supervision of a trial. Output: entries for the
-//! checkers, the report and the file. Invariant: entries are in the order of their times.
+//! checkers, the report and the file. Invariant: entries are in chronological order.
 
 mod event;
 
@@ -19,7 +19,7 @@
     /// Seconds since the trial began.
     #[serde(rename = "at")]
     pub at_seconds: f64,
-    /// What happened.
+    /// The event.
     #[serde(rename = "what")]
     pub event: Event,
 }
@@ -27,25 +27,25 @@
 /// Why a stored journal cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The reader failed.
+    /// Reading failed.
     #[error("line {line}: {source}")]
     Io {
         /// Number of the line, from 1.
         line: usize,
-        /// The reader's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The line is no journal entry.
+    /// The line is not a journal entry.
     #[error("line {line}: {source}")]
     Entry {
         /// Number of the line, from 1.
         line: usize,
-        /// Where and why the parser stopped.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
 }
 
-/// The journal of a running trial; clones write into the same one.
+/// The journal of a running trial; clones share its entries.
 #[derive(Clone)]
 pub struct Journal {
     began: Instant,
@@ -66,14 +66,14 @@
         self.began.elapsed().as_secs_f64()
     }
 
-    /// Appends an event with the current time. The time is taken under the lock, so that entries are in its order.
+    /// Appends an event with the current time. The time is read under the lock, so that entries are in chronological order.
     pub fn record(&self, event: Event) {
         let mut entries = self.lock();
         let at_seconds = self.now();
         entries.push(Entry { at_seconds, event });
     }
 
-    /// Evaluates a function over all entries so far, without copying them.
+    /// Calls a function with all entries so far, without copying them; the journal is locked meanwhile.
     pub fn inspect<T>(&self, evaluate: impl FnOnce(&[Entry]) -> T) -> T {
         evaluate(&self.lock())
     }
@@ -105,7 +105,7 @@
 ///
 /// # Errors
 ///
-/// The first line that cannot be read, by its number.
+/// The number of the first line that cannot be read, and the reason.
 pub fn read(from: impl BufRead) -> Result<Vec<Entry>, ReadError> {
     let entry = |(index, text): (usize, io::Result<String>)| {
         let line = index + 1;
--- a/crates/fault-testbed/src/journal/event.rs
+++ b/crates/fault-testbed/src/journal/event.rs
@@ -1,9 +1,8 @@
-//! The events of a journal. Their names in the JSON form are fixed (`serde(rename)`), so that journals of earlier versions
-//! can be read.
+//! The events of a journal. Their JSON names are fixed (`serde(rename)`), so that journals of earlier versions stay readable.
 
 use serde::{Deserialize, Serialize};
 
-/// One observed event. `ingress` and `instance` are numbers from 0; `request` is the id that the client drew.
+/// One observed event. `ingress` and `instance` are numbers from 0; `request` is the id that the client generated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// A client has written a request to an ingress.
@@ -13,10 +12,10 @@
         request: u64,
         /// The ingress that it was written to.
         ingress: usize,
-        /// The customer that it is made for.
+        /// The customer that sends it.
         customer: u64,
     },
-    /// The client has the final response, or none by its deadline.
+    /// The client has received its final response, or none by its deadline.
     #[serde(rename = "Final")]
     ResponseReceived {
         /// The request's id.
@@ -24,7 +23,7 @@
         /// Status of the response; `None`: no response by the deadline.
         status: Option<u16>,
     },
-    /// The client could not reach the ingress: no request was accepted.
+    /// The client could not connect, or its connection was closed without a response: the request counts as not accepted.
     #[serde(rename = "Unreached")]
     ConnectFailed {
         /// The request's id.
@@ -32,7 +31,7 @@
         /// The ingress that could not be reached.
         ingress: usize,
     },
-    /// A request has arrived completely at a limit server.
+    /// A complete request has arrived at a limit server.
     #[serde(rename = "Attempt")]
     AttemptArrived {
         /// The request's id.
@@ -42,21 +41,21 @@
         /// The ingress that sent it.
         ingress: usize,
     },
-    /// Time left to the request of an attempt that has just arrived, from its `X-Time-Left-Ms`.
+    /// The deadline that an attempt which has just arrived states in its `X-Time-Left-Ms`.
     #[serde(rename = "DeadlineTold")]
     DeadlineForwarded {
         /// The request's id.
         request: u64,
-        /// Milliseconds that the ingress goes on waiting.
+        /// Remaining time in milliseconds.
         time_left_ms: u64,
     },
-    /// A client has closed its connection before its response.
+    /// A client has closed its connection before it received a response.
     #[serde(rename = "Left")]
     ClientLeft {
         /// The request's id.
         request: u64,
     },
-    /// A client that sent half a request and stayed has its response, or the end of its connection.
+    /// The connection of a client that sent half a request and kept it open has ended.
     #[serde(rename = "HalfEnded")]
     HalfRequestEnded {
         /// The ingress.
@@ -64,7 +63,7 @@
         /// Seconds since the half request was sent.
         seconds: f64,
     },
-    /// That attempt has ended: its response was written, or its connection ended.
+    /// An attempt has ended: its response was written, or its connection was closed.
     #[serde(rename = "Over")]
     AttemptEnded {
         /// The request's id.
@@ -74,7 +73,7 @@
         /// The ingress that sent it.
         ingress: usize,
     },
-    /// An ingress opened a connection to a limit server.
+    /// An ingress has opened a connection to a limit server.
     #[serde(rename = "Opened")]
     ConnectionOpened {
         /// The limit server.
@@ -87,23 +86,23 @@
     InstanceStarted {
         /// The limit server.
         instance: usize,
-        /// True where it has to warm up; false where it counts as running since long ago.
+        /// True if it has to warm up; false if it counts as warmed up before the trial.
         #[serde(rename = "cold")]
         warming_up: bool,
     },
-    /// A limit server has stopped for good.
+    /// A limit server has stopped permanently.
     #[serde(rename = "Died")]
     InstanceStopped {
         /// The limit server.
         instance: usize,
     },
-    /// A limit server that was warming up got more than it can take and failed.
+    /// A limit server that was warming up was overloaded and failed.
     #[serde(rename = "Fell")]
     InstanceOverloaded {
         /// The limit server.
         instance: usize,
     },
-    /// The list service got a request.
+    /// The list service has received a request.
     #[serde(rename = "Call")]
     ListRequested {
         /// The ingress that sent it.
@@ -112,12 +111,12 @@
         #[serde(rename = "whole")]
         full: bool,
     },
-    /// The list service responded; a status other than 200 rejects the request.
+    /// The list service has responded; a status other than 200 rejects the request.
     #[serde(rename = "Listed")]
     ListResponse {
-        /// The ingress that asked.
+        /// The ingress that sent the request.
         ingress: usize,
-        /// True where the response is a full list.
+        /// True if the response is a full list.
         #[serde(rename = "whole")]
         full: bool,
         /// Status of the response.
@@ -128,12 +127,12 @@
         #[serde(rename = "rev")]
         revision: u64,
     },
-    /// A list response showed an ingress that an instance drains or is removed.
+    /// A list response notified an ingress that an instance is draining or removed.
     #[serde(rename = "Told")]
     RemovalListed {
         /// The ingress that got the response.
         ingress: usize,
-        /// The limit server that drains or is removed.
+        /// The limit server that is draining or removed.
         instance: usize,
     },
     /// A process of an ingress was started.
@@ -144,45 +143,45 @@
         /// Revision of the list that it starts with, if it has one.
         known: Option<u64>,
     },
-    /// An ingress answered `GET /healthz` with 200 for the first time.
+    /// An ingress has responded to `GET /healthz` with 200 for the first time since its start.
     #[serde(rename = "Ready")]
     IngressReady {
         /// The ingress.
         ingress: usize,
     },
-    /// A process was suspended (SIGSTOP) or continued.
+    /// A process was suspended (SIGSTOP) or resumed (SIGCONT).
     #[serde(rename = "Stopped")]
     IngressSuspended {
         /// The ingress.
         ingress: usize,
-        /// True: suspended; false: continued.
+        /// True: suspended; false: resumed.
         #[serde(rename = "on")]
         suspended: bool,
     },
-    /// The trial sent a process SIGTERM.
+    /// The testbed has sent a process SIGTERM.
     #[serde(rename = "Leaving")]
     IngressTerminating {
         /// The ingress.
         ingress: usize,
     },
-    /// The trial is about to kill a process that was told to end, at the earliest time that the platform does.
+    /// The testbed is about to kill a process that has not exited after SIGTERM, at the earliest time that the platform would.
     #[serde(rename = "Overdue")]
     ShutdownExpired {
         /// The ingress.
         ingress: usize,
     },
-    /// A process was killed by the trial.
+    /// The testbed is about to kill a process as a fault.
     #[serde(rename = "Killed")]
     IngressKilled {
         /// The ingress.
         ingress: usize,
     },
-    /// A process exited by itself, or could not be started.
+    /// A process has exited without being killed, or could not be started.
     #[serde(rename = "Crashed")]
     IngressExited {
         /// The ingress.
         ingress: usize,
-        /// Its exit status, or why it could not be started.
+        /// Its exit status, or the error of its start.
         status: String,
     },
     /// A fault begins or ends.
@@ -194,7 +193,7 @@
         #[serde(rename = "on")]
         active: bool,
     },
-    /// Datagrams for an ingress in the last second.
+    /// Datagrams to an ingress in the last second.
     #[serde(rename = "Mail")]
     DatagramsReceived {
         /// The ingress.
@@ -202,19 +201,19 @@
         /// Datagrams within the platform's limit.
         #[serde(rename = "taken")]
         accepted: u64,
-        /// Datagrams beyond it, which were dropped.
+        /// Datagrams beyond the limit, which were dropped.
         dropped: u64,
     },
-    /// The testbed itself was scheduled late.
+    /// A timer of the testbed itself fired late.
     #[serde(rename = "Late")]
     SchedulingDelay {
-        /// By how many milliseconds.
+        /// Delay in milliseconds.
         ms: u64,
     },
 }
 
 impl Event {
-    /// Status of the final response that a client got; `None` for all other events.
+    /// Status of the final response that a client received; `None` for all other events.
     pub fn response_status(&self) -> Option<u16> {
         match self {
             Event::ResponseReceived { status, .. } => *status,
--- a/crates/fault-testbed/src/journal/tests.rs
+++ b/crates/fault-testbed/src/journal/tests.rs
@@ -22,8 +22,8 @@
     let mut text = Vec::new();
     write(&entries, &mut text).expect("written");
     assert_eq!(read(&text[..]).expect("read"), entries);
-    let torn = read(&text[..text.len() - 9]).expect_err("torn");
-    assert!(torn.to_string().starts_with("line 2: "), "{torn}");
+    let error = read(&text[..text.len() - 9]).expect_err("truncated");
+    assert!(error.to_string().starts_with("line 2: "), "{error}");
 }
 
 /// Journals of earlier versions stay readable: the stored names are independent of the names in the code.
--- a/crates/fault-testbed/src/lib.rs
+++ b/crates/fault-testbed/src/lib.rs
@@ -1,10 +1,10 @@
 //! Trials of many real processes of the daemon on loopback, with faults between them.
 //!
-//! A trial ([`trial`]) states sizes, traffic and faults ([`fault`]); [`mod@run`] runs it: it starts the daemon's processes
+//! A trial file ([`trial`]) states sizes, traffic and faults ([`fault`]); [`mod@run`] runs it: it starts the daemon's processes
 //! ([`process`]), fakes of the limit servers ([`instance`]) and of the list service ([`list_service`]), and [`clients`].
-//! All traffic crosses links ([`network`]) by proxies ([`tcp_proxy`], [`udp_proxy`]) that lose, delay, silence or reset
-//! it. What crosses is recorded in a [`journal`]; the checkers ([`check`]) read nothing else. The daemon's code is not
-//! linked.
+//! All traffic passes through proxies ([`tcp_proxy`], [`udp_proxy`]) that apply the condition of its link ([`network`]): loss,
+//! delay, silence or resets. Requests, responses, attempts, faults and process exits are recorded in a [`journal`], the only
+//! input of the checkers ([`check`]). The daemon's code is not linked.
 
 pub mod capacity;
 pub mod check;
--- a/crates/fault-testbed/src/topology.rs
+++ b/crates/fault-testbed/src/topology.rs
@@ -1,7 +1,7 @@
-//! The components of a trial, and sets of them as a trial's file names them.
+//! The components of a trial, and sets of them in the notation of the trial file.
 //!
-//! Input: text such as `ingress:zone=1+list`. Output: the components that it selects, random selections by the
-//! caller's generator. Does no I/O.
+//! Input: text such as `ingress:zone=1+list`. Output: the selected components; random selections are drawn from the caller's
+//! generator. Does no I/O.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -11,14 +11,14 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-/// One end of a link.
+/// A component of a trial: one end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Component {
     /// All clients.
     Client,
-    /// An ingress by its number.
+    /// An ingress by its number, from 0.
     Ingress(usize),
-    /// A limit server by its number.
+    /// A limit server by its number, from 0.
     Instance(usize),
     /// The list service.
     ListService,
@@ -35,25 +35,27 @@
     }
 }
 
-/// How many components there are of each kind. The zone of a component is its number modulo the number of zones.
+/// Numbers of components of each kind. The zone of a component is its number modulo the number of zones.
 #[derive(Clone, Copy, Debug)]
 pub struct Topology {
-    /// Ingresses.
+    /// Number of ingresses.
     pub ingresses: usize,
-    /// Limit servers.
+    /// Number of limit servers.
     pub instances: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
 }
 
-/// Why text names no set of components.
+/// Why text is not a set of components.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ComponentSetError {
-    /// The kind is known, the selection is not.
-    #[error("'{0}' names no set of parts")]
+    /// The kind is known, the selection is invalid.
+    #[error(
+        "'{0}' has no valid selection: expected all, N, N-N, a fraction such as 0.7, or zone=N"
+    )]
     Selection(String),
     /// The kind is unknown.
-    #[error("'{0}' is none of clients, list, ingress:..., instance:...")]
+    #[error("'{0}' is not one of clients, list, ingress:..., instance:...")]
     Kind(String),
 }
 
@@ -74,8 +76,8 @@
     Instance(IndexSelection),
 }
 
-/// A set as text: `clients`, `list`, `ingress:all`, `ingress:3`, `instance:0-6`, `ingress:0.7` (a random selection of
-/// this fraction), `instance:zone=1`; several joined by `+`.
+/// A set of components. As text: `clients`, `list`, `ingress:all`, `ingress:3`, `instance:0-6`, `ingress:0.7` (a random
+/// selection of this fraction), `instance:zone=1`; several are joined by `+`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ComponentSet(Vec<Term>);
 
--- a/crates/fault-testbed/src/trial.rs
+++ b/crates/fault-testbed/src/trial.rs
@@ -1,8 +1,8 @@
-//! A trial's file: INI in the form of the operator's file, validated, with a schema.
+//! The trial file: INI in the syntax of the operator's file, validated, with a published schema.
 //!
-//! Input: the file's text. Output: a validated [`Trial`]. Names of fields are the keys of the file, since `garde` reports
-//! them as they are, and the doc comments of the fields are the descriptions of the published schema: both are read by
-//! others and stay. Module `settings` has their names in the rest of the crate.
+//! Input: the file's text. Output: a validated [`Trial`]. The field names are the keys of the file, because `garde` reports
+//! field names in its errors, and the doc comments of the fields are the descriptions in the schema. Module `settings` converts
+//! them to the types and names that the rest of the crate uses.
 
 mod settings;
 
@@ -15,67 +15,69 @@
 
 use crate::fault::{Fault, FaultError, InitialList};
 
-/// What a trial plays. All that is left out has a default.
+/// A trial file. Sections and keys that are left out have defaults.
 #[derive(Clone, Debug, Default, Deserialize, Validate, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Trial {
-    /// Sizes.
+    /// Size, duration and seed of the trial.
     #[garde(dive)]
-    pub trial: Sizes,
-    /// What ingresses start with.
+    pub trial: TrialSection,
+    /// Initial state of the ingresses.
     #[garde(skip)]
-    pub ingress: Start,
-    /// Limit servers.
+    pub ingress: IngressSection,
+    /// Properties of the limit servers.
     #[garde(dive)]
-    pub instance: Servers,
-    /// The list service.
+    pub instance: InstanceSection,
+    /// Limits and size of the list service.
     #[garde(dive)]
-    pub list: Service,
-    /// Clients.
+    pub list: ListSection,
+    /// Requests and behavior of the clients.
     #[garde(dive)]
-    pub traffic: Traffic,
-    /// Operator's settings of every ingress, `section.key = value`.
+    pub traffic: TrafficSection,
+    /// Settings of the operator's file of every ingress, as `section.key = value`.
     #[garde(skip)]
     pub operator: BTreeMap<String, String>,
-    /// Faults by name, each in one line; see [`crate::fault`].
+    /// Faults by name, one line each; see [`crate::fault`].
     #[garde(skip)]
     pub faults: BTreeMap<String, Fault>,
 }
 
 /// `[trial]`
 #[derive(Clone, Debug, Deserialize, Validate, JsonSchema)]
+#[schemars(rename = "Sizes")]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
-pub struct Sizes {
-    /// Seed of all that is drawn.
+pub struct TrialSection {
+    /// Seed of all random numbers.
     #[serde(deserialize_with = "number")]
     pub seed: u64,
-    /// How long clients ask.
+    /// Time for which clients send requests.
     #[garde(dive)]
     pub time: DurationSetting,
-    /// Ingresses.
+    /// Number of ingresses.
     #[garde(range(min = 1, max = 400))]
     #[serde(deserialize_with = "number")]
     pub ingresses: usize,
-    /// Limit servers.
+    /// Number of limit servers.
     #[garde(range(min = 1, max = 400))]
     #[serde(deserialize_with = "number")]
     pub instances: usize,
-    /// Zones, over which both are spread in turn.
+    /// Number of zones, to which ingresses and limit servers are assigned round-robin.
     #[garde(range(min = 1, max = 16))]
     #[serde(deserialize_with = "number")]
     pub zones: usize,
-    /// Clients come once so many parts of the ingresses are ready, as a front takes them in.
+    /// Fraction of the ingresses that are ready before clients send requests, as behind a load balancer with health checks.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub ready: f64,
-    /// Judges when attempts arrive and what they tell: on only where no link to limit servers holds anything back.
+    /// Checks the arrival times of attempts and the deadlines that they state. Only valid where no fault delays the links to
+    /// limit servers.
     pub arrivals: EnabledFlag,
 }
 
-impl Default for Sizes {
+impl Default for TrialSection {
     fn default() -> Self {
-        Sizes {
+        TrialSection {
             seed: 1,
             time: DurationSetting::from_millis(8_000),
             ingresses: 3,
@@ -89,15 +91,16 @@
 
 /// `[ingress]`
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
+#[schemars(rename = "Start")]
 #[serde(default, deny_unknown_fields)]
-pub struct Start {
-    /// `none`, `old` or `current`: the list that they start with.
+pub struct IngressSection {
+    /// The endpoint list that ingresses start with: `none`, `old` (that of the trial's start) or `current`.
     pub known: String,
 }
 
-impl Default for Start {
+impl Default for IngressSection {
     fn default() -> Self {
-        Start {
+        IngressSection {
             known: "none".to_string(),
         }
     }
@@ -105,41 +108,42 @@
 
 /// `[instance]`
 #[derive(Clone, Debug, Deserialize, Validate, JsonSchema)]
+#[schemars(rename = "Servers")]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
-pub struct Servers {
-    /// Cold when the trial begins.
+pub struct InstanceSection {
+    /// Whether limit servers have to warm up when the trial begins.
     pub cold: EnabledFlag,
-    /// Requests in work at once.
+    /// Number of cores: requests processed at once.
     #[garde(range(min = 1, max = 64))]
     #[serde(deserialize_with = "number")]
     pub cores: usize,
-    /// Requests in work or waiting.
+    /// Maximum number of requests that are processed or queued; more are rejected.
     #[garde(range(min = 1, max = 10_000))]
     #[serde(deserialize_with = "number")]
     pub room: usize,
-    /// Time of a core that a request takes, warm.
+    /// Time of one core that a request takes after the warm-up.
     #[garde(dive)]
     pub work: DurationSetting,
-    /// Time of a core that a new connection takes, warm.
+    /// Time of one core that a new connection takes after the warm-up.
     #[garde(dive)]
     pub dial: DurationSetting,
-    /// Connections that it holds.
+    /// Maximum number of open connections; requests on further ones are rejected.
     #[garde(range(min = 1, max = 10_000))]
     #[serde(deserialize_with = "number")]
     pub connections: usize,
-    /// Share of its capacity at its start.
+    /// Fraction of the full capacity at the start.
     #[garde(range(min = 0.01, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub cold_share: f64,
-    /// Until it is warm.
+    /// Duration of the warm-up.
     #[garde(dive)]
     pub cold_time: DurationSetting,
 }
 
-impl Default for Servers {
+impl Default for InstanceSection {
     fn default() -> Self {
-        Servers {
+        InstanceSection {
             cold: EnabledFlag(false),
             cores: 2,
             room: 40,
@@ -154,26 +158,27 @@
 
 /// `[list]`
 #[derive(Clone, Debug, Deserialize, Validate, JsonSchema)]
+#[schemars(rename = "Service")]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
-pub struct Service {
-    /// Calls a second that it answers; 0: any number.
+pub struct ListSection {
+    /// Requests per second that the list service accepts; 0: unlimited.
     #[garde(range(min = 0.0, max = 1e6))]
     #[serde(deserialize_with = "number")]
     pub calls_per_s: f64,
-    /// One that is turned away waits for that so long.
+    /// Delay of a rejection.
     pub turned_after: Option<DurationSetting>,
-    /// What it tells those to wait.
+    /// `Retry-After` of a rejection; none by default.
     pub retry_after: Option<DurationSetting>,
-    /// Entries of limit servers that nobody can reach, besides the real ones.
+    /// Number of additional list entries whose addresses are unreachable.
     #[garde(range(max = 10_000))]
     #[serde(deserialize_with = "number")]
     pub ballast: usize,
 }
 
-impl Default for Service {
+impl Default for ListSection {
     fn default() -> Self {
-        Service {
+        ListSection {
             calls_per_s: 0.0,
             turned_after: None,
             retry_after: None,
@@ -184,52 +189,53 @@
 
 /// `[traffic]`
 #[derive(Clone, Debug, Deserialize, Validate, JsonSchema)]
+#[schemars(rename = "Traffic")]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
-pub struct Traffic {
-    /// Requests a second at each ingress on the mean.
+pub struct TrafficSection {
+    /// Mean requests per second at each ingress.
     #[garde(range(min = 0.0, max = 1_000.0))]
     #[serde(deserialize_with = "number")]
     pub rate: f64,
-    /// Customers.
+    /// Number of customers.
     #[garde(range(min = 1, max = 1_000_000))]
     #[serde(deserialize_with = "number")]
     pub customers: u64,
-    /// Ingresses that each customer uses.
+    /// Number of ingresses that each customer uses.
     #[garde(range(min = 1, max = 400))]
     #[serde(deserialize_with = "number")]
     pub spread: usize,
-    /// Quota of each customer, units a second; twice as much at once.
+    /// Quota of each customer in units per second, with a burst of two seconds' units.
     #[garde(range(min = 0.01, max = 1e6))]
     #[serde(deserialize_with = "number")]
     pub quota: f64,
-    /// The ceiling of each customer, units a second, twice as much at once; 0: none.
+    /// Ceiling of each customer in units per second, with a burst of two seconds' units; 0: no ceiling.
     #[garde(range(min = 0.0, max = 1e6))]
     #[serde(deserialize_with = "number")]
     pub ceiling: f64,
-    /// Chance that a refused request comes again, once.
+    /// Probability that a client retries a rejected request, once.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub again: f64,
-    /// Chance that a client closes its connection 30 ms after its request.
+    /// Probability that a client closes its connection 30 ms after its request.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub leave: f64,
-    /// Chance that a client sends half a request and stays.
+    /// Probability that a client sends half a request and keeps the connection open.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(deserialize_with = "number")]
     pub half: f64,
-    /// Wanted within.
+    /// Time within which a response counts as in time.
     #[garde(dive)]
     pub wanted: DurationSetting,
-    /// Given up after.
+    /// Time after which a client gives up on a response.
     #[garde(dive)]
     pub patience: DurationSetting,
 }
 
-impl Default for Traffic {
+impl Default for TrafficSection {
     fn default() -> Self {
-        Traffic {
+        TrafficSection {
             rate: 2.0,
             customers: 2_000,
             spread: 4,
@@ -244,26 +250,26 @@
     }
 }
 
-/// Why a trial's file is rejected.
+/// Why a trial file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum TrialError {
-    /// A section or key is wrong.
+    /// A section or key is unknown, or its value is invalid.
     #[error(transparent)]
     Settings(#[from] applewall_operator_config::Error),
-    /// `[ingress] known` is no list to start with.
+    /// `[ingress] known` names no initial list.
     #[error("[ingress] known: {0}")]
     InitialList(#[source] FaultError),
-    /// A key of `[operator]` names no key of the operator's file.
-    #[error("[operator] {0}: is no section.key")]
+    /// A key of `[operator]` does not have the form `section.key`.
+    #[error("[operator] {0}: is not of the form section.key")]
     OperatorKey(String),
 }
 
 impl Trial {
-    /// Reads and validates the text of a trial's file.
+    /// Reads and validates the text of a trial file.
     ///
     /// # Errors
     ///
-    /// The section and key that are wrong, and why, in one line.
+    /// The invalid section and key with the reason, in one line.
     pub fn read(text: &str) -> Result<Self, TrialError> {
         let trial: Trial = applewall_operator_config::read(text)?;
         trial
@@ -277,12 +283,12 @@
         }
     }
 
-    /// The published schema of the file.
+    /// The JSON schema of the file.
     pub fn schema() -> String {
         applewall_operator_config::schema::<Trial>()
     }
 
-    /// The text of each ingress's operator's file, if it gets one.
+    /// The text of the operator's file of each ingress, if the trial has operator settings.
     pub fn operator_file(&self) -> Option<String> {
         let mut sections: BTreeMap<&str, String> = BTreeMap::new();
         for (key, value) in &self.operator {
--- a/crates/fault-testbed/src/trial/settings.rs
+++ b/crates/fault-testbed/src/trial/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a trial, in the terms of the modules that run and judge it.
+//! Converts the settings of a trial file to the types of the modules that run and check the trial.
 
 use std::time::Duration;
 
@@ -12,22 +12,22 @@
 use crate::list_service::ListServiceLimits;
 use crate::topology::Topology;
 
-/// Scheduling delay beyond which a trial gives no verdict: the time limits of the platform are of this order.
+/// Scheduling delay of the testbed beyond which a trial gives no verdict: the platform's time limits are of the same order.
 const MAX_SCHEDULING_DELAY_MS: u64 = 150;
-/// Seconds after which the platform lets no request go to an instance that drains.
+/// Seconds after the notice of a drain from which on the platform allows no new requests to the instance.
 const DRAIN_SECONDS: f64 = 0.5;
-/// Seconds of a ceiling's rate that a customer may use at once.
+/// Burst of a ceiling, in seconds of its rate.
 const CEILING_BURST_SECONDS: f64 = 2.0;
-/// Seconds of a ceiling's rate by which the platform tolerates an excess, but at least [`MIN_TOLERATED_UNITS`].
+/// Excess over a ceiling that the platform tolerates, in seconds of its rate; at least [`MIN_TOLERATED_UNITS`].
 const CEILING_TOLERANCE_SECONDS: f64 = 0.2;
 const MIN_TOLERATED_UNITS: f64 = 1.0;
-/// Multiple of its capacity that makes a limit server fail while it warms up, from the platform's description.
+/// Load, as a multiple of its capacity, that makes a limit server fail while it warms up; from the platform's description.
 const OVERLOAD_MULTIPLE: f64 = 2.5;
 /// Seconds over which that load is measured.
 const OVERLOAD_WINDOW_SECONDS: f64 = 3.0;
 
 impl Trial {
-    /// Numbers of components.
+    /// Numbers of ingresses, limit servers and zones.
     pub fn topology(&self) -> Topology {
         Topology {
             ingresses: self.trial.ingresses,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What its limit servers are like.
+    /// Capacity and limits of the limit servers.
     pub fn server_model(&self) -> ServerModel {
         let servers = &self.instance;
         ServerModel {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// When the limit servers started that run at its start.
+    /// Whether the initial limit servers have just started or ran before the trial.
     pub fn instance_start(&self) -> StartTime {
         if self.instance.cold.0 {
             StartTime::Now
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Limits of its list service.
+    /// Limits of the list service.
     pub fn list_service_limits(&self) -> ListServiceLimits {
         let duration =
             |setting: Option<DurationSetting>| setting.map_or(Duration::ZERO, |setting| setting.0);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// What its clients do.
+    /// Request rate and behavior of the clients.
     pub fn client_behavior(&self) -> ClientBehavior {
         let traffic = &self.traffic;
         ClientBehavior {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// What its checkers have to know.
+    /// Settings of the checkers.
     pub fn checker_settings(&self) -> CheckerSettings {
         CheckerSettings {
             model: self.server_model(),
--- a/crates/fault-testbed/src/trial/tests.rs
+++ b/crates/fault-testbed/src/trial/tests.rs
@@ -28,11 +28,11 @@
         ("[ingress]\nknown = some\n", "[ingress] known: 'some'"),
         (
             "[faults]\ncut = at 1s: eat list\n",
-            "[faults] cut: 'eat' is no fault",
+            "[faults] cut: 'eat' is not a known fault",
         ),
         (
             "[operator]\nformat = json\n",
-            "[operator] format: is no section.key",
+            "[operator] format: is not of the form section.key",
         ),
     ] {
         let error = Trial::read(wrong).expect_err(wrong).to_string();
