--- a/crates/fault-testbed/src/bin/applewall-fault-testbed.rs
+++ b/crates/fault-testbed/src/bin/applewall-fault-testbed.rs
@@ -146,7 +146,7 @@
         "asked {}, served in time {:.3}, refused {}, unreached {}; first served after {:.2} s",
         metrics.requests_sent,
         metrics.served_in_time_fraction(),
-        metrics.refused,
+        metrics.rejected,
         metrics.connect_failures,
         metrics.first_served_seconds.unwrap_or(f64::NAN)
     );
--- a/crates/fault-testbed/src/check/limit_servers.rs
+++ b/crates/fault-testbed/src/check/limit_servers.rs
@@ -1,4 +1,4 @@
-//! Rules on what limit servers get: after their removal, while they warm up, and of each customer.
+//! Rules on the requests that limit servers receive: after a removal, during the warm-up, and within customers' ceilings.
 
 use std::collections::BTreeMap;
 
@@ -7,38 +7,39 @@
 use crate::capacity::{OverloadTracker, ServerModel};
 use crate::journal::{Entry, Event};
 
-/// Seconds of a ceiling's rate by which its bucket may be overdrawn beyond the tolerance: attempts are recorded at the
-/// limit server, later than the ingress admitted them.
+/// Additional tolerance on a ceiling, in seconds of its rate: attempts are recorded at the limit server, later than the ingress
+/// admitted them.
 const CEILING_SKEW_SECONDS: f64 = 0.15;
 
-/// No new request goes to an instance this long after a list response showed the ingress that it drains or is removed.
+/// An ingress sends no new request to an instance later than `drain_seconds` after a list response that reported the instance
+/// as draining or removed.
 pub fn requests_after_removal(entries: &[Entry], drain_seconds: f64) -> Vec<String> {
-    let mut shown_at: BTreeMap<(usize, usize), f64> = BTreeMap::new();
+    let mut notified_at: BTreeMap<(usize, usize), f64> = BTreeMap::new();
     let mut violations = Vec::new();
     for entry in entries {
         match entry.event {
             Event::RemovalListed { ingress, instance } => {
-                shown_at
+                notified_at
                     .entry((ingress, instance))
                     .or_insert(entry.at_seconds);
             }
-            // A new process has not been shown anything yet.
+            // A new process has not been notified of anything yet.
             Event::IngressStarted { ingress, .. } => {
-                shown_at.retain(|(shown, _), _| *shown != ingress);
+                notified_at.retain(|(notified, _), _| *notified != ingress);
             }
-            // One that starts again is on the list again.
+            // An instance that restarts is in service on the list again.
             Event::InstanceStarted { instance, .. } => {
-                shown_at.retain(|(_, shown), _| *shown != instance);
+                notified_at.retain(|(_, removed), _| *removed != instance);
             }
             Event::AttemptArrived {
                 ingress, instance, ..
             } => {
-                let since = shown_at.get(&(ingress, instance));
+                let since = notified_at.get(&(ingress, instance));
                 let late = since.map(|at| entry.at_seconds - at);
                 let late = late.filter(|late| *late > drain_seconds);
                 violations.extend(late.map(|late| {
                     format!(
-                        "ingress {ingress} sent to instance {instance} {late:.2} s after its drain"
+                        "ingress {ingress} sent a request to instance {instance} {late:.2} s after its drain was reported"
                     )
                 }));
             }
@@ -48,12 +49,12 @@
     violations
 }
 
-/// What the limit servers got while they warmed up.
+/// Load on the limit servers while they warmed up.
 #[derive(Default)]
 struct WarmupLoad {
-    /// The highest fraction of what makes a server fail that any of them got.
+    /// The highest load on any server, as a fraction of the load that makes it fail.
     peak: f64,
-    /// Servers that got more than that, and when first.
+    /// Servers that were overloaded, with the time of the first overload in seconds.
     overloaded: BTreeMap<usize, f64>,
 }
 
@@ -83,7 +84,7 @@
             continue;
         };
         let is_overloaded = !tracker.arrive(entry.at_seconds, requests);
-        if is_overloaded && notices.holds_against_ingresses(instance) {
+        if is_overloaded && notices.attributable_to_ingresses(instance) {
             load.overloaded.entry(instance).or_insert(entry.at_seconds);
         }
         load.peak = load.peak.max(tracker.peak_overload);
@@ -91,21 +92,21 @@
     load
 }
 
-/// The highest fraction of what makes a limit server fail while it warms up that any of them got.
+/// The highest load on any limit server during its warm-up, as a fraction of the load that makes it fail.
 pub fn peak_warmup_overload(entries: &[Entry], model: &ServerModel) -> f64 {
     warmup_load(entries, model).peak
 }
 
-/// No limit server gets more than it can take while it warms up, from ingresses that had been notified of its start.
+/// No limit server is overloaded during its warm-up by ingresses that had been notified of its start.
 pub fn warmup_overloads(entries: &[Entry], model: &ServerModel) -> Vec<String> {
     let describe = |(instance, at)| {
-        format!("cold instance {instance} got more than pushes it over, at {at:.1} s")
+        format!("instance {instance} was overloaded during its warm-up at {at:.1} s")
     };
     let overloaded = warmup_load(entries, model).overloaded;
     overloaded.into_iter().map(describe).collect()
 }
 
-/// What all ingresses together forward for a customer stays within its ceiling.
+/// All ingresses together forward no more requests of a customer than its ceiling allows.
 pub fn requests_over_ceiling(entries: &[Entry], ceiling: Ceiling) -> Vec<String> {
     let rate = ceiling.units_per_second;
     if rate <= 0.0 {
@@ -120,7 +121,7 @@
                 request, customer, ..
             } => drop(customer_of.insert(request, customer)),
             Event::AttemptArrived { request, .. } => {
-                // Only the first attempt of a request draws on the bucket.
+                // Only the first attempt of a request takes a unit.
                 let Some(customer) = customer_of.remove(&request) else {
                     continue;
                 };
@@ -136,12 +137,13 @@
             _ => {}
         }
     }
-    let describe =
-        |(customer, units)| format!("customer {customer}: its ceiling's store fell to {units:.1}");
+    let describe = |(customer, units)| {
+        format!("customer {customer} exceeded its ceiling: {units:.1} units left")
+    };
     overdrawn.into_iter().map(describe).collect()
 }
 
-/// What a customer has left of its ceiling; negative where it was exceeded.
+/// Token bucket of a customer's ceiling; negative where the customer exceeded it.
 struct TokenBucket {
     units: f64,
     refilled_at: f64,
--- a/crates/fault-testbed/src/check/metrics.rs
+++ b/crates/fault-testbed/src/check/metrics.rs
@@ -1,27 +1,27 @@
-//! The metrics of a trial, from its journal.
+//! Computes the metrics of a trial from its journal.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{peak_warmup_overload, CheckerSettings};
 use crate::journal::{Entry, Event};
 
-/// Requests of one second of a trial, by the time at which they were sent.
+/// Counts of the requests that were sent within one second of a trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SecondCounts {
     /// Requests sent.
     pub sent: usize,
-    /// Those served within the wanted time.
+    /// Of these, requests served within the wanted time.
     pub served_in_time: usize,
 }
 
-/// Datagrams of all ingresses.
+/// Datagrams to all ingresses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
     /// Accepted within the platform's limit.
     pub accepted: u64,
-    /// Dropped beyond it.
+    /// Dropped because they exceeded the limit.
     pub dropped: u64,
-    /// The most that one ingress accepted within a second.
+    /// Maximum that one ingress accepted within a second.
     pub max_accepted_per_second: u64,
 }
 
@@ -30,15 +30,15 @@
 pub struct Metrics {
     /// Requests written to an ingress.
     pub requests_sent: usize,
-    /// Requests served at all.
+    /// Requests served, in time or not.
     pub served: usize,
     /// Requests served within the wanted time.
     pub served_in_time: usize,
-    /// Requests refused with 429 or 503.
-    pub refused: usize,
-    /// Requests whose ingress could not be reached.
+    /// Requests rejected with 429 or 503.
+    pub rejected: usize,
+    /// Requests that no ingress accepted; see [`Event::ConnectFailed`].
     pub connect_failures: usize,
-    /// When the first request was served, in seconds.
+    /// Time at which the first request was served, in seconds.
     pub first_served_seconds: Option<f64>,
     /// Requests at the list service.
     pub list_requests: usize,
@@ -46,25 +46,25 @@
     pub full_lists: usize,
     /// Requests that it rejected.
     pub list_rejections: usize,
-    /// The most requests at the list service within 100 ms.
+    /// Maximum number of requests at the list service within 100 ms.
     pub max_list_requests_per_100ms: usize,
-    /// The most requests at the list service within a second.
+    /// Maximum number of requests at the list service within a second.
     pub max_list_requests_per_second: usize,
-    /// Bytes of list bodies.
+    /// Bytes of the bodies of list responses.
     pub list_bytes: usize,
-    /// When each ingress got its first list, in order, in seconds.
+    /// Times at which the ingresses received their first lists, in ascending order, in seconds.
     pub first_list_seconds: Vec<f64>,
-    /// The most connections opened at one instance within 100 ms.
+    /// Maximum number of connections opened to one instance within 100 ms.
     pub max_connections_opened_per_100ms: usize,
-    /// The most attempts at one instance within 100 ms.
+    /// Maximum number of attempts at one instance within 100 ms.
     pub max_attempts_per_100ms: usize,
     /// Attempts at all instances.
     pub attempts: usize,
-    /// The highest fraction of what makes an instance fail while it warms up that one of them got.
+    /// The highest load on any instance during its warm-up, as a fraction of the load that makes it fail.
     pub peak_warmup_overload: f64,
     /// Datagrams between ingresses.
     pub datagrams: DatagramCounts,
-    /// Requests by the second in which they were sent.
+    /// Counts by the second in which the requests were sent.
     pub per_second: Vec<SecondCounts>,
 }
 
@@ -74,7 +74,7 @@
         self.served_in_time as f64 / self.requests_sent.max(1) as f64
     }
 
-    /// The same of the requests sent from one second to another (exclusive).
+    /// The same fraction of the requests sent from second `from` to second `to` (exclusive).
     pub fn served_in_time_fraction_between(&self, from: usize, to: usize) -> f64 {
         let seconds = || self.per_second.iter().take(to).skip(from);
         let sent: usize = seconds().map(|second| second.sent).sum();
@@ -83,10 +83,10 @@
     }
 }
 
-/// Times of events by the number of the component that they are counted for.
+/// Times of events by the number of the component that they belong to.
 type Times = BTreeMap<usize, Vec<f64>>;
 
-/// The most events of one component within a window.
+/// Maximum number of events of one component within a window.
 pub(super) fn max_within(times: &Times, window_seconds: f64) -> usize {
     let busiest = |times: &Vec<f64>| {
         let within = |(index, start): (usize, &f64)| {
@@ -173,7 +173,7 @@
                     metrics.per_second[*sent_at as usize].served_in_time += 1;
                 }
             }
-            (Some(429 | 503), _) => metrics.refused += 1,
+            (Some(429 | 503), _) => metrics.rejected += 1,
             _ => {}
         }
     }
@@ -200,7 +200,7 @@
     }
 }
 
-/// The metrics of a journal.
+/// Computes the metrics of a journal.
 pub fn metrics(entries: &[Entry], settings: &CheckerSettings) -> Metrics {
     let mut collector = Collector {
         metrics: Metrics {
--- a/crates/fault-testbed/src/check/processes.rs
+++ b/crates/fault-testbed/src/check/processes.rs
@@ -1,15 +1,15 @@
-//! Rules on processes: their exits, and whether the testbed itself was scheduled in time.
+//! Rules on process exits, and the scheduling delay of the testbed itself.
 
 use std::collections::BTreeSet;
 
 use super::start_notices::StartNotices;
 use crate::journal::{Entry, Event};
 
-/// Exit status of a process that ended regularly after SIGTERM.
+/// Exit status of a graceful shutdown after SIGTERM.
 const SUCCESSFUL_EXIT: &str = "exit status: 0";
 
-/// No ingress exits without SIGTERM or with a failure after it, and no limit server fails while it warms up by the
-/// load of ingresses that had been notified of its start.
+/// No ingress exits without SIGTERM, or after it with another status than success; no limit server fails during its warm-up
+/// under the load of ingresses that had been notified of its start.
 pub fn process_exits(entries: &[Entry]) -> Vec<String> {
     let mut terminating = BTreeSet::new();
     let mut notices = StartNotices::default();
@@ -20,7 +20,7 @@
                 terminating.insert(*ingress);
                 None
             }
-            // The process that was told to end is gone; an exit of the next one is its own.
+            // The process that received SIGTERM is killed; the signal does not excuse an exit of the next one.
             Event::ShutdownExpired { ingress } | Event::IngressKilled { ingress } => {
                 terminating.remove(ingress);
                 None
@@ -31,12 +31,12 @@
                 None
             }
             Event::IngressExited { ingress, status } => {
-                Some(format!("ingress {ingress} ended by itself: {status}"))
+                Some(format!("ingress {ingress} exited unexpectedly: {status}"))
             }
             Event::InstanceOverloaded { instance }
-                if notices.holds_against_ingresses(*instance) =>
+                if notices.attributable_to_ingresses(*instance) =>
             {
-                Some(format!("cold instance {instance} fell over"))
+                Some(format!("instance {instance} failed during its warm-up"))
             }
             _ => None,
         }
@@ -44,7 +44,8 @@
     entries.iter().filter_map(&mut exit).collect()
 }
 
-/// The highest scheduling delay of the testbed itself, in milliseconds. Beyond a limit a trial gives no verdict.
+/// The highest scheduling delay of the testbed itself, in milliseconds. A trial with a delay above
+/// [`CheckerSettings::max_scheduling_delay_ms`](super::CheckerSettings) gives no verdict.
 pub fn scheduling_delay_ms(entries: &[Entry]) -> u64 {
     let delay = |entry: &Entry| match entry.event {
         Event::SchedulingDelay { ms } => Some(ms),
--- a/crates/fault-testbed/src/check/requests.rs
+++ b/crates/fault-testbed/src/check/requests.rs
@@ -1,17 +1,17 @@
-//! Rules on requests: their final responses, attempts and deadlines.
+//! Rules on requests: final responses, attempts and deadlines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::SOCKET_TOLERANCE_SECONDS;
 use crate::journal::{Entry, Event};
 
-/// Seconds after which half a request has ended: the platform's 3 s, 0.15 s for which a process may be suspended by a
-/// fault that every rule applies to, and the tolerance on sockets.
+/// Seconds within which the connection of half a request has to end: the platform's 3 s, the 0.15 s of a fault that suspends
+/// processes briefly, and the tolerance on sockets.
 const MAX_HALF_REQUEST_SECONDS: f64 = 3.0 + 0.15 + SOCKET_TOLERANCE_SECONDS;
-/// Seconds after the end of a client in which an attempt may still begin.
+/// Seconds after its client has left in which an attempt may still begin.
 const MAX_ATTEMPT_DELAY_SECONDS: f64 = 0.1 + SOCKET_TOLERANCE_SECONDS;
-/// Seconds by which the deadline that a limit server gets may be later than the client's: the platform's slack, and the
-/// tolerance on sockets.
+/// Seconds by which the deadline forwarded to a limit server may exceed the client's: the platform's tolerance of 0.15 s, and
+/// the tolerance on sockets.
 const MAX_DEADLINE_EXCESS_SECONDS: f64 = 0.15 + SOCKET_TOLERANCE_SECONDS;
 
 /// Requests that a running ingress has accepted and whose client has no response yet.
@@ -23,7 +23,7 @@
 }
 
 impl PendingRequests {
-    /// A request written on a connection of a process that does not run is accepted by nobody.
+    /// Adds a request, unless its ingress is not running and so cannot accept it.
     fn add(&mut self, request: u64, ingress: usize, at_seconds: f64) {
         if !self.not_running.contains(&ingress) {
             self.ingress_of.insert(request, ingress);
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Requests at an ingress that were sent before a time.
+    /// Pending requests at an ingress that were sent before this time.
     fn sent_before(&self, ingress: usize, at_seconds: f64) -> Vec<u64> {
         let at_ingress = self.ingress_of.iter().filter(|(_, at)| **at == ingress);
         at_ingress
@@ -40,15 +40,15 @@
             .collect()
     }
 
-    /// What a process had accepted is lost when it is killed, and a suspended one answers nothing: neither breaks a
-    /// rule of the program.
+    /// Removes the pending requests of an ingress: a killed process loses them and a suspended one does not respond, and neither
+    /// is a violation.
     fn stop(&mut self, ingress: usize) {
         self.not_running.insert(ingress);
         self.ingress_of.retain(|_, at| *at != ingress);
     }
 }
 
-/// Each request gets exactly one final response, while its ingress runs.
+/// Each request receives exactly one final response while its ingress is running.
 pub fn final_responses(entries: &[Entry]) -> Vec<String> {
     let mut pending = PendingRequests::default();
     let mut answered: BTreeSet<u64> = BTreeSet::new();
@@ -58,9 +58,9 @@
             Event::RequestSent {
                 request, ingress, ..
             } => pending.add(request, ingress, entry.at_seconds),
-            // Written on a connection that had ended, and no ingress accepted it on another one.
+            // The connection was already closed, and the ingress did not accept the request on another one either.
             Event::ConnectFailed { request, .. } => drop(pending.ingress_of.remove(&request)),
-            // It still has to answer what it had accepted; it accepts nothing new.
+            // Requests that the process accepted before its exit still need a response; it accepts no new ones.
             Event::IngressExited { ingress, .. } => drop(pending.not_running.insert(ingress)),
             Event::ClientLeft { request } => drop(pending.ingress_of.remove(&request)),
             Event::IngressStarted { ingress, .. }
@@ -72,7 +72,7 @@
                 let unanswered =
                     pending.sent_before(ingress, entry.at_seconds - SOCKET_TOLERANCE_SECONDS);
                 violations.extend(unanswered.into_iter().map(|request| {
-                    format!("request {request:x} was unanswered when ingress {ingress} had to end")
+                    format!("request {request:x} had no response at the shutdown deadline of ingress {ingress}")
                 }));
                 pending.stop(ingress);
             }
@@ -83,11 +83,11 @@
             } => pending.stop(ingress),
             Event::ResponseReceived { request, status } => {
                 if !answered.insert(request) {
-                    violations.push(format!("request {request:x} has two final answers"));
+                    violations.push(format!("request {request:x} has two final responses"));
                 }
                 if let (Some(ingress), None) = (pending.ingress_of.remove(&request), status) {
                     violations.push(format!(
-                        "request {request:x} had no answer of ingress {ingress} by its deadline"
+                        "request {request:x} had no response of ingress {ingress} by its deadline"
                     ));
                 }
             }
@@ -97,8 +97,8 @@
     violations
 }
 
-/// A request that was forwarded to a limit server gets its final response: its connection does not end without one while
-/// its ingress runs.
+/// A request that was forwarded to a limit server receives its final response: a running ingress does not close the client's
+/// connection without one.
 pub fn forwarded_without_response(entries: &[Entry]) -> Vec<String> {
     let mut forwarded: BTreeSet<u64> = BTreeSet::new();
     let mut killed: BTreeSet<usize> = BTreeSet::new();
@@ -120,7 +120,7 @@
                 if forwarded.contains(&request) && !killed.contains(&ingress) =>
             {
                 violations.push(format!(
-                    "request {request:x} was forwarded, and ingress {ingress} closed its connection without an answer"
+                    "request {request:x} was forwarded, but ingress {ingress} closed its connection without a response"
                 ));
             }
             _ => {}
@@ -129,8 +129,8 @@
     violations
 }
 
-/// A request never has two attempts in flight. The end of an attempt is observed on another connection than the
-/// beginning of the next one, so it may be observed later by the platform's tolerance on time limits.
+/// A request never has two attempts in flight. The end of an attempt is observed on a different connection than the start of
+/// the next one, so it may be observed later than that start, within the platform's tolerance on sockets.
 pub fn overlapping_attempts(entries: &[Entry]) -> Vec<String> {
     let mut in_flight: BTreeMap<u64, Vec<Attempt>> = BTreeMap::new();
     let mut violations = Vec::new();
@@ -148,29 +148,30 @@
             } => {
                 let attempts = in_flight.get_mut(&request);
                 let overlap = attempts.and_then(|attempts| end_attempt(attempts, instance, now));
-                violations.extend(
-                    overlap.map(|overlap| {
-                        format!("request {request:x} is out at instances {overlap}")
-                    }),
-                );
+                violations.extend(overlap.map(|overlap| {
+                    format!("request {request:x} had overlapping attempts at instances {overlap}")
+                }));
             }
             _ => {}
         }
     }
     let remaining = in_flight.iter().filter(|(_, attempts)| attempts.len() > 1);
     violations.extend(remaining.map(|(request, attempts)| {
-        format!("request {request:x} stays out {} times", attempts.len())
+        format!(
+            "request {request:x} has {} attempts that did not end",
+            attempts.len()
+        )
     }));
     violations
 }
 
-/// An attempt that has not ended.
+/// An attempt in flight.
 struct Attempt {
     instance: usize,
     arrived_at: f64,
 }
 
-/// Removes an attempt that ended; describes another one that was in flight beside it for longer than the tolerance.
+/// Removes an attempt that has ended; describes another one that overlapped with it for longer than the tolerance.
 fn end_attempt(attempts: &mut Vec<Attempt>, instance: usize, now: f64) -> Option<String> {
     let ended = attempts
         .iter()
@@ -185,13 +186,15 @@
     ))
 }
 
-/// A client that stops in the middle of a request gets a response, or the end of its connection, in time. Judged at the
-/// end of its connection, which lingers for half a second after a response.
+/// A client that sends only half a request receives a response, or its connection is closed, in time. The journal has the end
+/// of the connection, which may come half a second after the response because the ingress lingers.
 pub fn overdue_half_requests(entries: &[Entry]) -> Vec<String> {
     let overdue = |entry: &Entry| match entry.event {
-        Event::HalfRequestEnded { ingress, seconds } if seconds > MAX_HALF_REQUEST_SECONDS => Some(
-            format!("ingress {ingress} held half a request for {seconds:.2} s"),
-        ),
+        Event::HalfRequestEnded { ingress, seconds } if seconds > MAX_HALF_REQUEST_SECONDS => {
+            Some(format!(
+                "ingress {ingress} kept the connection of half a request open for {seconds:.2} s"
+            ))
+        }
         _ => None,
     };
     entries.iter().filter_map(overdue).collect()
@@ -208,7 +211,7 @@
                 let late = left_at.get(&request).map(|at| entry.at_seconds - at);
                 let late = late.filter(|late| *late > MAX_ATTEMPT_DELAY_SECONDS);
                 violations.extend(late.map(|late| {
-                    format!("request {request:x} was sent {late:.2} s after its client left")
+                    format!("request {request:x} was forwarded {late:.2} s after its client left")
                 }));
             }
             _ => {}
@@ -217,7 +220,7 @@
     violations
 }
 
-/// The time left that a request states to a limit server exceeds what its client has left by 0.2 s at most.
+/// The deadline that a request states to a limit server exceeds its client's by at most 0.2 s.
 pub fn deadlines_beyond_clients(entries: &[Entry], timeout_seconds: f64) -> Vec<String> {
     let mut sent_at: BTreeMap<u64, f64> = BTreeMap::new();
     let mut violations = Vec::new();
@@ -235,7 +238,7 @@
                 let excess = forwarded_deadline - (sent_at + timeout_seconds);
                 if excess > MAX_DEADLINE_EXCESS_SECONDS {
                     violations.push(format!(
-                        "request {request:x} told a limit server of {excess:.2} s beyond its client's time"
+                        "request {request:x} was forwarded with a deadline {excess:.2} s later than its client's"
                     ));
                 }
             }
--- a/crates/fault-testbed/src/check/tests.rs
+++ b/crates/fault-testbed/src/check/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule rejects a journal that breaks it, and accepts the sound one.
+//! Each rule reports a journal that violates it, and accepts a valid one.
 
 mod limit_servers;
 mod processes;
@@ -19,22 +19,22 @@
         burst_units: 3.0,
         tolerated_units: 0.5,
     },
-    judges_arrivals: true,
+    checks_arrivals: true,
     timeout_seconds: 3.0,
     wanted_seconds: 0.8,
     max_scheduling_delay_ms: 100,
 };
 
-/// What no rule finds fault with.
+/// The result of a check without violations.
 const NONE: [String; 0] = [];
 
-/// A journal that a test composes, in the order of its times.
+/// A journal composed by a test, in chronological order.
 #[derive(Clone, Default)]
 struct Scenario(Vec<Entry>);
 
 impl Scenario {
-    /// A journal with nothing wrong, which a test continues from 0.9 s on.
-    fn sound() -> Self {
+    /// A journal without violations, which a test extends from 0.9 s on.
+    fn valid() -> Self {
         Scenario::default()
             .at(0.0, ingress_started())
             .at(0.0, instance_started(true))
@@ -121,10 +121,10 @@
 }
 
 #[test]
-fn a_sound_journal_has_no_violations_and_the_expected_metrics() {
-    let sound = Scenario::sound();
-    assert_eq!(sound.violations(), NONE);
-    let metrics = metrics(&sound.0, &SETTINGS);
+fn valid_journal_has_no_violations_and_the_expected_metrics() {
+    let valid = Scenario::valid();
+    assert_eq!(valid.violations(), NONE);
+    let metrics = metrics(&valid.0, &SETTINGS);
     assert_eq!(
         (
             metrics.requests_sent,
--- a/crates/fault-testbed/src/check/tests/limit_servers.rs
+++ b/crates/fault-testbed/src/check/tests/limit_servers.rs
@@ -1,10 +1,10 @@
-//! Rules on what limit servers get.
+//! Rules on the requests that limit servers receive.
 
 use super::*;
 
 #[test]
 fn a_request_long_after_a_drain_is_a_violation_unless_the_process_is_new() {
-    let listed = Scenario::sound().at(1.0, removal_listed());
+    let listed = Scenario::valid().at(1.0, removal_listed());
     assert_eq!(listed.clone().at(1.5, attempt(2)).violations(), NONE);
     let late = listed.clone().at(1.6, attempt(2)).violations();
     assert!(
@@ -35,12 +35,12 @@
                 .at(at_seconds, attempt_ended(request))
         })
     };
-    let found = overload(Scenario::sound()).violations();
+    let found = overload(Scenario::valid()).violations();
     assert!(
-        found.len() == 1 && found[0].contains("pushes it over"),
+        found.len() == 1 && found[0].contains("overloaded during its warm-up"),
         "{found:?}"
     );
-    let warmed_up = Scenario::sound().at(0.9, instance_started(false));
+    let warmed_up = Scenario::valid().at(0.9, instance_started(false));
     assert_eq!(overload(warmed_up).violations(), NONE);
 }
 
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn fall_of_an_instance_of_whose_start_nobody_was_notified_is_no_violation() {
+fn overload_of_an_instance_whose_start_was_not_notified_is_no_violation() {
     let listed = |at: f64| {
         Scenario::default().at(
             at,
@@ -77,29 +77,29 @@
             },
         )
     };
-    let fell = Event::InstanceOverloaded { instance: 2 };
-    // It follows the list, and hears nothing after the start.
+    let overloaded = Event::InstanceOverloaded { instance: 2 };
+    // The ingress watches the list and receives no response after the start.
     let unnotified = listed(0.0)
         .at(1.0, instance_started(true))
         .at(1.5, attempt(2))
-        .at(2.0, fell.clone());
+        .at(2.0, overloaded.clone());
     assert_eq!(process_exits(&unnotified.0), NONE);
     // A change counts as notified after 6 s, whether or not it arrived.
     let overdue = listed(0.0)
         .at(1.0, instance_started(true))
         .at(7.5, attempt(2))
-        .at(8.0, fell.clone());
+        .at(8.0, overloaded.clone());
     assert_eq!(process_exits(&overdue.0).len(), 1);
-    // It has heard of the start, or does not follow the list as far as the journal shows.
+    // The ingress has been notified of the start, or the journal does not show that it watches the list.
     let notified = listed(0.0)
         .at(1.0, instance_started(true))
         .at(1.2, listed(0.0).0[0].event.clone())
         .at(1.5, attempt(2))
-        .at(2.0, fell.clone());
+        .at(2.0, overloaded.clone());
     assert_eq!(process_exits(&notified.0).len(), 1);
     let unknown = Scenario::default()
         .at(1.0, instance_started(true))
         .at(1.5, attempt(2))
-        .at(2.0, fell);
+        .at(2.0, overloaded);
     assert_eq!(process_exits(&unknown.0).len(), 1);
 }
--- a/crates/fault-testbed/src/check/tests/processes.rs
+++ b/crates/fault-testbed/src/check/tests/processes.rs
@@ -1,10 +1,10 @@
-//! Rules on processes.
+//! Rules on process exits.
 
 use super::*;
 
 #[test]
 fn an_exited_process_and_a_failed_instance_are_violations() {
-    let journal = Scenario::sound()
+    let journal = Scenario::valid()
         .at(1.0, ingress_exited("exit status: 1"))
         .at(1.0, Event::InstanceOverloaded { instance: 2 });
     let found = journal.violations();
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn process_that_got_sigterm_may_end_with_success_only() {
+fn process_that_received_sigterm_may_only_exit_with_success() {
     let exit = |status: &str| {
         let terminating = Event::IngressTerminating { ingress: 0 };
         let journal = Scenario::default().at(1.0, terminating);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn exit_of_the_process_after_a_killed_one_is_not_excused_by_its_sigterm() {
+fn sigterm_of_a_killed_process_does_not_excuse_an_exit_of_the_next_one() {
     for killed in [
         Event::ShutdownExpired { ingress: 0 },
         Event::IngressKilled { ingress: 0 },
--- a/crates/fault-testbed/src/check/tests/requests.rs
+++ b/crates/fault-testbed/src/check/tests/requests.rs
@@ -4,15 +4,18 @@
 
 #[test]
 fn requests_with_no_final_response_or_two_are_violations() {
-    let none = Scenario::sound()
+    let none = Scenario::valid()
         .at(1.0, request_sent(2))
         .at(4.0, response(2, None))
         .violations();
-    assert!(none.len() == 1 && none[0].contains("no answer"), "{none:?}");
-    let two = Scenario::sound().at(1.0, response(1, Some(429)));
+    assert!(
+        none.len() == 1 && none[0].contains("no response"),
+        "{none:?}"
+    );
+    let two = Scenario::valid().at(1.0, response(1, Some(429)));
     let two = two.violations();
     assert!(
-        two.len() == 1 && two[0].contains("two final answers"),
+        two.len() == 1 && two[0].contains("two final responses"),
         "{two:?}"
     );
 }
@@ -21,22 +24,22 @@
 fn requests_accepted_by_a_killed_or_suspended_process_need_no_response() {
     let suspended = |ingress, suspended| Event::IngressSuspended { ingress, suspended };
     let unanswered_after = |first: Event, second: Event| {
-        let journal = Scenario::sound().at(1.0, first).at(1.1, second);
+        let journal = Scenario::valid().at(1.0, first).at(1.1, second);
         journal.at(4.0, response(2, None)).violations()
     };
     let killed = Event::IngressKilled { ingress: 0 };
     assert_eq!(unanswered_after(request_sent(2), killed), NONE);
-    // Neither what a suspended process had accepted nor what arrives meanwhile needs one.
+    // Requests that a suspended process accepted before, or that arrive meanwhile, need no response.
     assert_eq!(unanswered_after(request_sent(2), suspended(0, true)), NONE);
     assert_eq!(unanswered_after(suspended(0, true), request_sent(2)), NONE);
-    // What arrives after it has continued does, and so does a request at another process.
-    let continued = Scenario::sound()
+    // Requests that arrive after it has resumed need one, and so do requests at another process.
+    let resumed = Scenario::valid()
         .at(1.0, suspended(0, true))
         .at(1.1, suspended(0, false))
         .at(1.2, request_sent(2))
         .at(4.0, response(2, None))
         .violations();
-    assert_eq!(continued.len(), 1, "{continued:?}");
+    assert_eq!(resumed.len(), 1, "{resumed:?}");
     let elsewhere = unanswered_after(request_sent(2), suspended(1, true));
     assert_eq!(elsewhere.len(), 1, "{elsewhere:?}");
 }
@@ -63,7 +66,7 @@
         instance: 3,
         ingress: 0,
     };
-    let first = Scenario::sound().at(1.0, attempt(2));
+    let first = Scenario::valid().at(1.0, attempt(2));
     let consecutive = first.clone().at(1.1, attempt_ended(2));
     assert_eq!(consecutive.at(1.2, elsewhere.clone()).violations(), NONE);
     let both = first.at(1.1, elsewhere);
@@ -78,7 +81,7 @@
 }
 
 #[test]
-fn attempt_after_its_client_left_is_a_violation_from_the_platforms_tolerance_on() {
+fn attempt_after_its_client_left_is_a_violation_beyond_the_tolerance() {
     let late_by = |seconds: f64| {
         let left = Scenario::default()
             .at(1.0, request_sent(7))
@@ -90,7 +93,7 @@
 }
 
 #[test]
-fn half_request_that_is_open_beyond_its_time_is_a_violation() {
+fn connection_of_half_a_request_that_stays_open_too_long_is_a_violation() {
     let open_for = |seconds| {
         let ended = Event::HalfRequestEnded {
             ingress: 0,
@@ -103,7 +106,7 @@
 }
 
 #[test]
-fn deadline_beyond_the_clients_time_and_slack_is_a_violation() {
+fn forwarded_deadline_beyond_the_clients_and_the_tolerance_is_a_violation() {
     let forwarded = |time_left_ms| {
         let forwarded = Event::DeadlineForwarded {
             request: 7,
@@ -117,14 +120,14 @@
 }
 
 #[test]
-fn request_unanswered_at_the_earliest_kill_is_a_violation_and_one_that_was_just_sent_is_not() {
+fn request_without_response_at_the_shutdown_deadline_is_a_violation_unless_just_sent() {
     let expired = Event::ShutdownExpired { ingress: 0 };
     let lost = Scenario::default()
         .at(1.0, request_sent(7))
         .at(2.0, expired.clone());
     let lost = final_responses(&lost.0);
     assert!(
-        lost.len() == 1 && lost[0].contains("had to end"),
+        lost.len() == 1 && lost[0].contains("shutdown deadline"),
         "{lost:?}"
     );
     let just_sent = Scenario::default()
@@ -139,7 +142,7 @@
 }
 
 #[test]
-fn forwarded_request_whose_connection_is_closed_without_an_answer_is_a_violation() {
+fn forwarded_request_whose_connection_is_closed_without_a_response_is_a_violation() {
     let closed = Event::ConnectFailed {
         request: 7,
         ingress: 0,
--- a/crates/fault-testbed/src/trial/settings.rs
+++ b/crates/fault-testbed/src/trial/settings.rs
@@ -107,7 +107,7 @@
             model: self.server_model(),
             drain_seconds: DRAIN_SECONDS + SOCKET_TOLERANCE_SECONDS,
             ceiling: self.ceiling(),
-            judges_arrivals: self.trial.arrivals.0,
+            checks_arrivals: self.trial.arrivals.0,
             timeout_seconds: self.traffic.patience.0.as_secs_f64(),
             wanted_seconds: self.traffic.wanted.0.as_secs_f64(),
             max_scheduling_delay_ms: MAX_SCHEDULING_DELAY_MS,
--- a/tests/zones_fleet.rs
+++ b/tests/zones_fleet.rs
@@ -17,8 +17,9 @@
     let played = play::play(&text);
     // Requests held up to their deadlines, and closings of 50 ms, are a matter of the machine's speed: `make measure-zones`
     // judges them.
-    let timed =
-        |line: &&String| line.contains("by its deadline") || line.contains("is out at instances");
+    let timed = |line: &&String| {
+        line.contains("by its deadline") || line.contains("had overlapping attempts at instances")
+    };
     let broken: Vec<&String> = played
         .violations
         .iter()
