--- a/crates/fault-testbed/src/check/tests/processes.rs
+++ b/crates/fault-testbed/src/check/tests/processes.rs
@@ -20,7 +20,7 @@
     };
     assert_eq!(exit("exit status: 0"), NONE);
     assert_eq!(exit("exit status: 1").len(), 1);
-    assert_eq!(exit("did not end in time").len(), 1);
+    assert_eq!(exit("did not exit in time after SIGTERM").len(), 1);
 }
 
 #[test]
--- a/crates/fault-testbed/src/clients/shutdown.rs
+++ b/crates/fault-testbed/src/clients/shutdown.rs
@@ -39,7 +39,11 @@
 
 impl Clients {
     /// Opens connections to an ingress and uses them until each is closed.
-    pub(crate) fn use_until_closed(self: &Arc<Self>, ingress: usize, seed: u64) -> JoinSet<()> {
+    pub(crate) fn open_connections_before_shutdown(
+        self: &Arc<Self>,
+        ingress: usize,
+        seed: u64,
+    ) -> JoinSet<()> {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut connections = JoinSet::new();
         let busy = std::iter::repeat_n(Use::Busy, BUSY_CONNECTIONS);
@@ -52,7 +56,11 @@
     }
 
     /// Opens connections to an ingress that was told to end, for as long as the platform does.
-    pub(crate) async fn come_during_shutdown(self: Arc<Self>, ingress: usize, seed: u64) {
+    pub(crate) async fn open_connections_during_shutdown(
+        self: Arc<Self>,
+        ingress: usize,
+        seed: u64,
+    ) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let (started, mut connections) = (Instant::now(), JoinSet::new());
         while started.elapsed() < NEW_CONNECTIONS_TIME {
--- a/crates/fault-testbed/src/environment.rs
+++ b/crates/fault-testbed/src/environment.rs
@@ -1,7 +1,7 @@
 //! The environment of a trial: its processes, its fakes, and the proxies between them.
 //!
-//! Built from a [`Trial`]; owned by the run of the trial and shared with the tasks of its faults. Invariant: everything
-//! in it ends with it, and all addresses are on loopback and no other trial's on this machine.
+//! Built from a [`Trial`]; owned by the run of the trial and shared with the tasks of its faults. Invariants: processes, tasks
+//! and sockets end with the environment; all addresses are on loopback, and no other trial on this machine uses them.
 
 mod addresses;
 mod faults;
@@ -32,7 +32,7 @@
 use proxies::{forward_datagrams, proxy_instance};
 use tasks::Tasks;
 
-/// An address where nobody listens, for list entries that cannot be reached: the port of `discard`.
+/// The address of unreachable list entries, at which nothing listens: the port of the discard service.
 const UNREACHABLE: ([u8; 4], u16) = ([127, 255, 255, 254], 9);
 
 /// Everything that runs in a trial.
@@ -44,14 +44,14 @@
     pub(crate) list_service: Arc<ListService>,
     instances: Mutex<Vec<Arc<Instance>>>,
     ingresses: Mutex<Vec<IngressProcess>>,
-    /// Where each instance listens, by ingress.
+    /// Addresses of the instances, by ingress.
     pub(crate) endpoints: Vec<Endpoints>,
-    /// The list at the trial's start, by ingress.
+    /// The endpoint list at the trial's start, by ingress.
     pub(crate) initial_lists: Vec<Snapshot>,
     addresses: AddressPlan,
-    /// Faults of the library that is preloaded into the ingresses.
+    /// Controls the faults of the library that is preloaded into the ingresses.
     pub(crate) system_faults: ControlFile,
-    /// Ingresses that have been ready.
+    /// Ingresses that have been ready at least once.
     ready: Mutex<BTreeSet<usize>>,
     pub(crate) tasks: Tasks,
     /// The clients, once they have started.
@@ -59,7 +59,7 @@
 }
 
 impl Environment {
-    /// Builds the environment of a trial; no process runs yet.
+    /// Builds the environment of a trial; the ingresses are not started yet.
     pub(crate) async fn build(
         trial: Trial,
         program: &Path,
@@ -104,7 +104,7 @@
         Ok(environment)
     }
 
-    /// Starts the limit servers and adds the unreachable entries; the result is the trial's initial list.
+    /// Starts the limit servers, adds the unreachable entries, and stores the resulting list as the initial one.
     async fn fill_list(&mut self) -> io::Result<()> {
         for _ in 0..self.topology.instances {
             self.add_instance(self.trial.instance_start()).await?;
@@ -137,7 +137,7 @@
         self.ready().insert(ingress);
     }
 
-    /// Number of ingresses that have been ready.
+    /// Number of ingresses that have been ready at least once.
     pub(crate) fn ready_count(&self) -> usize {
         self.ready().len()
     }
@@ -146,7 +146,7 @@
         self.ready.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts one more limit server, with a listener for each ingress, and adds it to the list.
+    /// Starts another limit server, with a listener for each ingress, and adds it to the list.
     pub(crate) async fn add_instance(&self, start: StartTime) -> io::Result<usize> {
         let (instance, number) = {
             let mut instances = self.instances();
@@ -173,7 +173,7 @@
         Ok(number)
     }
 
-    /// Stops a limit server for good; the list shows it.
+    /// Stops a limit server permanently and removes it from the list.
     fn remove_instance(&self, number: usize) {
         self.list_service
             .set_entry_state(number, EntryState::Removed);
@@ -181,7 +181,7 @@
         instance.stop();
     }
 
-    /// Adds an entry to the list at an address where nobody listens.
+    /// Adds an unreachable entry to the list.
     fn add_unreachable_entry(&self) {
         let mut number = 0;
         for endpoints in &self.endpoints {
--- a/crates/fault-testbed/src/environment/faults.rs
+++ b/crates/fault-testbed/src/environment/faults.rs
@@ -1,7 +1,7 @@
-//! Carries the faults of a trial out: waits for the trigger of each, begins it, and ends it.
+//! Injects the faults of a trial: waits for the trigger of each, begins it, and ends it.
 //!
-//! Input: the faults of the trial. Output: journal entries on the begin and end of each, and what the fault does to links,
-//! fakes and processes. Faults of ingresses and of limit servers are in modules of their own.
+//! Input: the faults of the trial. Output: journal entries at the beginning and end of each, and its effects on links, fakes
+//! and processes. Faults of ingresses and of limit servers are in submodules.
 
 mod foreign_datagrams;
 mod ingresses;
@@ -23,16 +23,16 @@
 
 const NANOS_PER_MILLISECOND: i64 = 1_000_000;
 
-/// Ends a fault that has begun.
+/// Ends an active fault.
 type EndFault = Box<dyn FnOnce() + Send>;
 
-/// The end of a fault that has none.
+/// The end of a fault whose effect is not undone.
 fn no_end() -> EndFault {
     Box::new(|| {})
 }
 
-/// The setting of the preloaded library for a system call.
-fn failing_call(call: SystemCall) -> SystemFault {
+/// The fault of the preloaded library that makes this system call fail.
+fn system_call_fault(call: SystemCall) -> SystemFault {
     match call {
         SystemCall::Accept => SystemFault::AcceptFailsOneIn,
         SystemCall::Connect => SystemFault::ConnectFailsOneIn,
@@ -40,8 +40,8 @@
     }
 }
 
-/// Number of ingresses that have got a list.
-fn listed(entries: &[Entry]) -> usize {
+/// Number of ingresses that have received a list.
+fn listed_ingresses(entries: &[Entry]) -> usize {
     let listed = entries.iter().filter_map(|entry| match entry.event {
         Event::ListResponse {
             ingress,
@@ -53,14 +53,14 @@
     listed.collect::<BTreeSet<_>>().len()
 }
 
-/// Number of requests that were served.
-fn served(entries: &[Entry]) -> usize {
+/// Number of requests that have been served.
+fn served_requests(entries: &[Entry]) -> usize {
     let served = |entry: &&Entry| entry.event.response_status() == Some(200);
     entries.iter().filter(served).count()
 }
 
 impl Environment {
-    /// Carries out one fault of the trial.
+    /// Waits for the trigger of a fault, begins it, and ends it after its duration.
     pub(crate) async fn run_fault(self: Arc<Self>, name: String, seed: u64) {
         let fault: Fault = self.trial.faults[&name].clone();
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -87,8 +87,8 @@
                 let elapsed = Duration::from_secs_f64(self.journal.now());
                 tokio::time::sleep(at.saturating_sub(elapsed)).await;
             }
-            Trigger::Listed(count) => self.wait_for_count(listed, count).await,
-            Trigger::Served(count) => self.wait_for_count(served, count).await,
+            Trigger::Listed(count) => self.wait_for_count(listed_ingresses, count).await,
+            Trigger::Served(count) => self.wait_for_count(served_requests, count).await,
         }
     }
 
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Begins a fault; what ends it is returned.
+    /// Begins a fault and returns the function that ends it.
     async fn begin_fault(
         self: Arc<Self>,
         name: &str,
@@ -141,7 +141,7 @@
                 self.set_system_fault(SystemFault::WallClockOffsetNs, offset_ns)
             }
             FaultKind::FailSystemCall { call, one_in } => {
-                self.set_system_fault(failing_call(*call), i64::from(*one_in))
+                self.set_system_fault(system_call_fault(*call), i64::from(*one_in))
             }
         }
     }
@@ -152,7 +152,7 @@
         Box::new(move || self.network.remove_rules(&name))
     }
 
-    /// Puts a fault of the preloaded library in force; it stays where the wall clock was stepped.
+    /// Activates a fault of the preloaded library. A step of the wall clock is not undone.
     fn set_system_fault(self: Arc<Self>, fault: SystemFault, value: i64) -> EndFault {
         self.system_faults.set(fault, value);
         if fault == SystemFault::WallClockOffsetNs {
--- a/crates/fault-testbed/src/environment/faults/foreign_datagrams.rs
+++ b/crates/fault-testbed/src/environment/faults/foreign_datagrams.rs
@@ -1,13 +1,12 @@
-//! Datagrams to ingresses from an address that is no peer's.
+//! Datagrams to ingresses from an address that belongs to no peer.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
 use tokio::net::UdpSocket;
 
-/// What an address that is no peer's sends: messages of the startup scheduler as peers write them, of a service that is
-/// busy and of a process that has just started; a truncated one, a useless one, bytes that are no text, one that is too
-/// long.
+/// The datagrams: two valid messages of the startup scheduler (the list service is busy; a process has just started), a
+/// truncated one, a meaningless one, one that is not UTF-8, and one that is too long.
 const FOREIGN_DATAGRAMS: [&[u8]; 6] = [
     b"T1 6 0 99 500",
     b"T1 1 0 - 0",
@@ -16,10 +15,10 @@
     b"\xff\xfe\xfd",
     &[b'x'; 300],
 ];
-/// Interval of foreign datagrams to one ingress: half of what an ingress accepts a second.
+/// Interval of the datagrams to one ingress: 20 per second, half of what the platform lets an ingress receive.
 const FOREIGN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Sends foreign datagrams in turn to all receivers, until it is aborted.
+/// Sends each datagram in turn to all receivers, repeatedly, until the task is aborted.
 pub(super) async fn send(receivers: Vec<SocketAddr>) {
     let Ok(socket) = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await else {
         return;
--- a/crates/fault-testbed/src/environment/faults/ingresses.rs
+++ b/crates/fault-testbed/src/environment/faults/ingresses.rs
@@ -1,4 +1,4 @@
-//! Faults of the daemon's processes: signals, ends and restarts.
+//! Faults of the daemon's processes: signals, kills, shutdowns and restarts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 use crate::journal::Event;
 use crate::run::POLL_INTERVAL;
 
-/// Longest time from SIGTERM to the end of a process: the longest deadline of a request, and what the platform adds.
+/// Maximum time from SIGTERM to the exit of a process: the longest deadline of a request and the platform's allowance.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Time from SIGTERM to the earliest SIGKILL of the platform: the longest deadline, and 0.7 s.
-const EARLIEST_KILL: Duration = Duration::from_millis(3_700);
-/// Time before SIGTERM at which the clients of a shutdown open their connections.
+/// Time from SIGTERM to the earliest SIGKILL of the platform: the longest deadline of a request, and 0.7 s.
+const KILL_DELAY: Duration = Duration::from_millis(3_700);
+/// Time before SIGTERM at which the clients that use the ingress during its shutdown open their connections.
 const CONNECTIONS_LEAD_TIME: Duration = Duration::from_millis(300);
-/// The signals of a shutdown, by the time from its beginning.
+/// The signals of a shutdown, with their times after the first one.
 const SHUTDOWN_SIGNALS: [(Duration, i32); 5] = [
     (Duration::ZERO, libc::SIGTERM),
     (Duration::from_millis(50), libc::SIGHUP),
@@ -29,7 +29,7 @@
 ];
 
 impl Environment {
-    /// Begins a fault of these ingresses; what ends it is returned.
+    /// Begins a fault of these ingresses and returns the function that ends it.
     pub(super) async fn begin_ingress_fault(
         self: Arc<Self>,
         numbers: Vec<usize>,
@@ -69,8 +69,8 @@
             let mut ingresses = self.ingresses();
             let ingress = &mut ingresses[*number];
             if ingress.exists() {
-                // Recorded before the kill: other tasks observe at once that the pending requests end, and without the
-                // entry the checkers would expect a response of a running process to each of them.
+                // Recorded before the kill: other tasks may record the ends of the pending requests immediately, and if the
+                // kill came after them, the checkers would expect the responses of a running process.
                 self.journal
                     .record(Event::IngressKilled { ingress: *number });
                 ingress.kill();
@@ -81,7 +81,7 @@
         };
         tokio::time::sleep(after).await;
         for ingress in numbers {
-            self.start_again(ingress, list);
+            self.restart_ingress(ingress, list);
         }
     }
 
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Sends processes SIGTERM, waits for the end of each, and starts them again.
+    /// Sends processes SIGTERM, waits for the exit of each, and restarts them if the fault says so.
     async fn terminate(self: Arc<Self>, numbers: Vec<usize>, restart: Option<Restart>) {
         let mut incarnations = Vec::new();
         for ingress in numbers {
@@ -104,7 +104,7 @@
             incarnations.push((ingress, incarnation));
         }
         for (ingress, incarnation) in incarnations {
-            // Another fault may end the process too, and start the next one meanwhile.
+            // Another fault may end the process too and start the next one meanwhile.
             let still_runs = || {
                 let present = self.ingresses()[ingress].incarnation();
                 incarnation.is_some() && present == incarnation
@@ -115,7 +115,7 @@
                 }
             };
             if tokio::time::timeout(EXIT_TIMEOUT, ended).await.is_err() {
-                let status = "did not end in time".to_string();
+                let status = "did not exit in time after SIGTERM".to_string();
                 self.journal
                     .record(Event::IngressExited { ingress, status });
                 self.ingresses()[ingress].kill();
@@ -124,27 +124,31 @@
                 continue;
             };
             tokio::time::sleep(after).await;
-            self.start_again(ingress, list);
+            self.restart_ingress(ingress, list);
         }
     }
 
-    /// Ends a process as the platform does: its clients use what stays open, signals come in series, and it is killed at the
-    /// earliest that is allowed.
+    /// Shuts a process down as the platform does: its clients keep using open connections and open new ones, it receives a
+    /// series of signals, and it is killed at the earliest time at which the platform does that.
     async fn shut_down(self: Arc<Self>, ingress: usize, restart: Option<Restart>) {
         let Some(clients) = self.clients.get() else {
             return;
         };
         let seed = self.trial.trial.seed ^ (ingress as u64) << 24;
-        let mut connections = clients.use_until_closed(ingress, seed);
+        let mut connections = clients.open_connections_before_shutdown(ingress, seed);
         tokio::time::sleep(CONNECTIONS_LEAD_TIME).await;
-        // Another fault may end the process too, and start the next one meanwhile.
+        // Another fault may end the process too and start the next one meanwhile.
         let Some(incarnation) = self.ingresses()[ingress].incarnation() else {
             return;
         };
         let still_runs = |this: &Self| this.ingresses()[ingress].incarnation() == Some(incarnation);
         self.journal.record(Event::IngressTerminating { ingress });
         let terminated = Instant::now();
-        connections.spawn(clients.clone().come_during_shutdown(ingress, seed ^ 1));
+        connections.spawn(
+            clients
+                .clone()
+                .open_connections_during_shutdown(ingress, seed ^ 1),
+        );
         for (after, signal) in SHUTDOWN_SIGNALS {
             tokio::time::sleep_until(terminated + after).await;
             if still_runs(&self) {
@@ -156,21 +160,21 @@
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let kill_at = terminated + EARLIEST_KILL;
+        let kill_at = terminated + KILL_DELAY;
         if tokio::time::timeout_at(kill_at, ended).await.is_err() {
-            // Recorded before the kill, as with every other.
+            // Recorded before the kill, for the same reason as in `kill`.
             self.journal.record(Event::ShutdownExpired { ingress });
             self.ingresses()[ingress].kill();
         }
         while connections.join_next().await.is_some() {}
         if let Some(Restart { after, list }) = restart {
             tokio::time::sleep(after).await;
-            self.start_again(ingress, list);
+            self.restart_ingress(ingress, list);
         }
     }
 
-    /// Starts an ingress that does not run; another fault may have started it meanwhile.
-    fn start_again(self: &Arc<Self>, ingress: usize, list: InitialList) {
+    /// Restarts an ingress, unless another fault has restarted it meanwhile.
+    fn restart_ingress(self: &Arc<Self>, ingress: usize, list: InitialList) {
         if self.ingresses()[ingress].exists() {
             return;
         }
@@ -188,7 +192,7 @@
         }
         Box::new(move || {
             for number in &numbers {
-                // Recorded before the signal: what the process accepts from then on has to be answered.
+                // Recorded before the signal: requests that the process accepts after it need a response.
                 self.record_suspension(*number, false);
                 self.ingresses()[*number].signal(libc::SIGCONT);
             }
--- a/crates/fault-testbed/src/environment/faults/instances.rs
+++ b/crates/fault-testbed/src/environment/faults/instances.rs
@@ -9,7 +9,7 @@
 use crate::list_service::EntryState;
 
 impl Environment {
-    /// Begins a fault of these limit servers; what ends it is returned.
+    /// Begins a fault of these limit servers and returns the function that ends it.
     pub(super) async fn begin_instance_fault(
         self: Arc<Self>,
         numbers: Vec<usize>,
@@ -20,8 +20,8 @@
             InstanceFault::Replace => self.replace_instances(&numbers).await,
             InstanceFault::Remove => self.remove_instances(&numbers),
             InstanceFault::TruncateResponses => {
-                self.break_responses(&numbers, true);
-                Box::new(move || self.break_responses(&numbers, false))
+                self.truncate_responses(&numbers, true);
+                Box::new(move || self.truncate_responses(&numbers, false))
             }
             InstanceFault::Drain => {
                 for number in numbers {
@@ -35,8 +35,8 @@
                 Box::new(move || self.fail_requests(&numbers, false))
             }
             InstanceFault::NeverRespond => {
-                self.never_answer(&numbers, true);
-                Box::new(move || self.never_answer(&numbers, false))
+                self.never_respond(&numbers, true);
+                Box::new(move || self.never_respond(&numbers, false))
             }
         }
     }
@@ -72,15 +72,15 @@
         }
     }
 
-    fn break_responses(&self, numbers: &[usize], breaks: bool) {
+    fn truncate_responses(&self, numbers: &[usize], truncates: bool) {
         for number in numbers {
-            self.instances()[*number].set_breaks_responses(breaks);
+            self.instances()[*number].set_truncates_responses(truncates);
         }
     }
 
-    fn never_answer(&self, numbers: &[usize], never: bool) {
+    fn never_respond(&self, numbers: &[usize], never: bool) {
         for number in numbers {
-            self.instances()[*number].set_never_answers(never);
+            self.instances()[*number].set_never_responds(never);
         }
     }
 }
--- a/crates/fault-testbed/src/environment/processes.rs
+++ b/crates/fault-testbed/src/environment/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of a trial: their start, readiness and unexpected exits.
+//! The processes of a trial: start, readiness and exits.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,11 +14,11 @@
 use crate::list_service::Snapshot;
 use crate::run::POLL_INTERVAL;
 
-/// Time limit of one health check.
+/// Timeout of one health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Environment {
-    /// Starts a process of an ingress and watches for its readiness.
+    /// Starts a process of an ingress, and a task that polls its health check until it is ready.
     pub(crate) fn start_ingress(
         self: &Arc<Self>,
         ingress: usize,
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// Records processes that exit by themselves.
+    /// Polls all processes and records their exits.
     pub(crate) async fn record_exits(self: Arc<Self>) {
         loop {
             tokio::time::sleep(POLL_INTERVAL).await;
--- a/crates/fault-testbed/src/environment/proxies.rs
+++ b/crates/fault-testbed/src/environment/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies of a trial: connections of ingresses to the fakes, and datagrams between ingresses.
+//! The proxies of a trial, for connections from ingresses to the fakes and for datagrams between ingresses.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,9 +17,9 @@
 use crate::trial::Trial;
 use crate::udp_proxy::UdpProxy;
 
-/// Datagrams per second that the platform lets an ingress receive.
+/// The platform's limit on the datagrams per second that an ingress receives.
 const MAX_DATAGRAMS_PER_SECOND: f64 = 40.0;
-/// Distinguishes the random numbers of the list service's links from those of the limit servers' links.
+/// Makes the random numbers of the links to the list service differ from those of the links to limit servers.
 const LIST_LINK_SEED: u64 = 0x115f;
 
 impl Environment {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Accepts the connections of an ingress to the list service.
+    /// Accepts the connections of an ingress to the list service and forwards them.
     pub(super) async fn proxy_list_service(self: Arc<Self>, ingress: usize, listener: TcpListener) {
         let links = self.links(ingress, Component::ListService);
         let mut connections = JoinSet::new();
@@ -59,7 +59,7 @@
     }
 }
 
-/// Accepts the connections of an ingress to one limit server.
+/// Accepts the connections of an ingress to one limit server and forwards them.
 pub(super) async fn proxy_instance(
     listener: TcpListener,
     instance: Arc<Instance>,
@@ -84,7 +84,7 @@
     while connections.join_next().await.is_some() {}
 }
 
-/// Binds the UDP proxy and starts it; returns the addresses that peers know.
+/// Binds and starts the UDP proxy; returns the addresses at which peers reach each ingress.
 pub(super) async fn forward_datagrams(
     trial: &Trial,
     addresses: &AddressPlan,
--- a/crates/fault-testbed/src/environment/tasks.rs
+++ b/crates/fault-testbed/src/environment/tasks.rs
@@ -5,13 +5,13 @@
 
 use tokio::task::{AbortHandle, JoinSet};
 
-/// The tasks that an environment has spawned. They hold the environment themselves, so that dropping it does not end
-/// them: the run of the trial aborts them once the journal is complete.
+/// The tasks that an environment has spawned. They own references to the environment, so dropping it does not end them: the
+/// run of the trial aborts them once the journal is complete.
 #[derive(Default)]
 pub(crate) struct Tasks(Mutex<JoinSet<()>>);
 
 impl Tasks {
-    /// Spawns a task; the handle can end it earlier.
+    /// Spawns a task; the returned handle aborts it earlier.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) -> AbortHandle {
         let mut tasks = self.lock();
         while tasks.try_join_next().is_some() {}
--- a/crates/fault-testbed/src/instance.rs
+++ b/crates/fault-testbed/src/instance.rs
@@ -1,8 +1,8 @@
-//! The fake limit servers of a trial: cores, a queue, connections that cost work, a warm-up during which overload makes
-//! them fail.
+//! The fake limit servers of a trial. Each has a number of cores and a queue; new connections cost work; overload during the
+//! warm-up makes it fail.
 //!
-//! Input: requests of ingresses on proxied streams; faults. Output: responses, and journal entries on connections,
-//! attempts and incarnations. Invariant: an incarnation's connections end with it.
+//! Input: requests of ingresses on proxied streams; faults. Output: responses, and journal entries on connections, attempts
+//! and incarnations. Invariant: connections do not outlive the incarnation that accepted them.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -16,7 +16,7 @@
 use crate::capacity::{OverloadTracker, ServerModel};
 use crate::journal::{Event, Journal};
 
-/// Start time of an incarnation that started [`StartTime::LongAgo`].
+/// Time of the start of an incarnation with [`StartTime::LongAgo`].
 const LONG_AGO_SECONDS: f64 = -1e6;
 
 const NO_REQUEST_ID: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
@@ -28,7 +28,7 @@
 pub enum StartTime {
     /// It starts now and has to warm up.
     Now,
-    /// Longer ago than any warm-up takes.
+    /// It started so long ago that its warm-up is over.
     LongAgo,
 }
 
@@ -37,34 +37,34 @@
     number: usize,
     model: ServerModel,
     load: Mutex<OverloadTracker>,
-    /// Number of the current incarnation; `None` while it is down. Connections of an earlier one end.
+    /// Number of the current incarnation; `None` while the server is stopped. A change closes all connections.
     incarnation: watch::Sender<Option<u64>>,
     cores: Semaphore,
     requests: AtomicUsize,
     connections: AtomicUsize,
-    never_answers: AtomicBool,
+    never_responds: AtomicBool,
     fails_requests: AtomicBool,
-    breaks_responses: AtomicBool,
+    truncates_responses: AtomicBool,
     journal: Journal,
 }
 
 /// Increments a counter, and decrements it when dropped.
-struct Counted<'a>(&'a AtomicUsize);
+struct CountGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Counted<'a> {
+impl<'a> CountGuard<'a> {
     fn new(counter: &'a AtomicUsize) -> Self {
         counter.fetch_add(1, Ordering::Relaxed);
-        Counted(counter)
+        CountGuard(counter)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// An attempt in work; records its end when dropped, however it ends.
+/// An attempt in progress; records its end when dropped, however it ends.
 struct Attempt<'a> {
     instance: &'a Instance,
     request: u64,
@@ -96,14 +96,14 @@
     }
 }
 
-/// What becomes of a connection after a request.
-enum Next {
-    Request,
+/// What to do with a connection after a request.
+enum ConnectionAction {
+    KeepAlive,
     Close,
 }
 
 impl Instance {
-    /// A running server.
+    /// Starts a server.
     pub fn start(
         number: usize,
         model: ServerModel,
@@ -126,14 +126,14 @@
             cores: Semaphore::new(model.cores),
             requests: AtomicUsize::new(0),
             connections: AtomicUsize::new(0),
-            never_answers: AtomicBool::new(false),
+            never_responds: AtomicBool::new(false),
             fails_requests: AtomicBool::new(false),
-            breaks_responses: AtomicBool::new(false),
+            truncates_responses: AtomicBool::new(false),
             journal: journal.clone(),
         })
     }
 
-    /// True while it accepts connections.
+    /// True if it accepts connections.
     pub fn running(&self) -> bool {
         self.incarnation.borrow().is_some()
     }
@@ -150,7 +150,7 @@
         });
     }
 
-    /// Stops it.
+    /// Stops the server permanently.
     pub fn stop(&self) {
         if self.incarnation.send_replace(None).is_some() {
             self.journal.record(Event::InstanceStopped {
@@ -159,18 +159,18 @@
         }
     }
 
-    /// Whether it accepts requests and never answers them.
-    pub fn set_never_answers(&self, never_answers: bool) {
-        self.never_answers.store(never_answers, Ordering::Relaxed);
+    /// Sets whether it accepts requests and never responds.
+    pub fn set_never_responds(&self, never_responds: bool) {
+        self.never_responds.store(never_responds, Ordering::Relaxed);
     }
 
-    /// Whether it breaks off its answers in the middle of the body.
-    pub fn set_breaks_responses(&self, breaks_responses: bool) {
-        self.breaks_responses
-            .store(breaks_responses, Ordering::Relaxed);
+    /// Sets whether it closes the connection in the middle of the body of each response.
+    pub fn set_truncates_responses(&self, truncates_responses: bool) {
+        self.truncates_responses
+            .store(truncates_responses, Ordering::Relaxed);
     }
 
-    /// Whether it answers 500 at once.
+    /// Sets whether it responds to every request with 500 immediately.
     pub fn set_fails_requests(&self, fails_requests: bool) {
         self.fails_requests.store(fails_requests, Ordering::Relaxed);
     }
@@ -179,7 +179,7 @@
         self.load.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds arriving work, in requests; false where the server has failed of it.
+    /// Adds arriving work, as a multiple of that of a request; returns false if the server has failed from overload.
     fn arrive(&self, requests: f64) -> bool {
         let survives = self.load().arrive(self.journal.now(), requests);
         if !survives && self.running() {
@@ -199,7 +199,7 @@
             instance: self.number,
             ingress,
         });
-        let _counted = Counted::new(&self.connections);
+        let _counted = CountGuard::new(&self.connections);
         if current.is_none() || !self.arrive(self.model.connection_cost()) {
             return;
         }
@@ -226,8 +226,8 @@
                 });
             }
             match self.serve_request(stream, id, &mut extra_cost).await? {
-                Next::Request => {}
-                Next::Close => return Ok(()),
+                ConnectionAction::KeepAlive => {}
+                ConnectionAction::Close => return Ok(()),
             }
         }
         Ok(())
@@ -238,27 +238,27 @@
         stream: &mut DuplexStream,
         id: u64,
         extra_cost: &mut f64,
-    ) -> io::Result<Next> {
+    ) -> io::Result<ConnectionAction> {
         if !self.arrive(1.0) {
-            return Ok(Next::Close);
+            return Ok(ConnectionAction::Close);
         }
         if self.fails_requests.load(Ordering::Relaxed) {
             stream.write_all(FAILED).await?;
-            return Ok(Next::Request);
+            return Ok(ConnectionAction::KeepAlive);
         }
         let connections = self.connections.load(Ordering::Relaxed);
         if connections > self.model.max_connections
             || self.requests.load(Ordering::Relaxed) >= self.model.max_requests
         {
             stream.write_all(FULL).await?;
-            return Ok(Next::Request);
+            return Ok(ConnectionAction::KeepAlive);
         }
-        let _counted = Counted::new(&self.requests);
-        // Work on a request that the ingress gives up stops.
+        let _counted = CountGuard::new(&self.requests);
+        // The work stops if the ingress closes the connection.
         let mut byte = [0];
         tokio::select! {
             () = self.work(*extra_cost) => {}
-            _ = stream.read(&mut byte) => return Ok(Next::Close),
+            _ = stream.read(&mut byte) => return Ok(ConnectionAction::Close),
         }
         *extra_cost = 0.0;
         let busy = 1.0 - self.cores.available_permits() as f64 / self.model.cores as f64;
@@ -268,13 +268,13 @@
             "HTTP/1.1 200 OK\r\nX-Backend-Load: util={busy:.2}\r\nContent-Length: {length}\r\n\r\n"
         );
         let response = head + &body;
-        if self.breaks_responses.load(Ordering::Relaxed) {
+        if self.truncates_responses.load(Ordering::Relaxed) {
             let sent = response.len() - length / 2;
             stream.write_all(&response.as_bytes()[..sent]).await?;
-            return Ok(Next::Close);
+            return Ok(ConnectionAction::Close);
         }
         stream.write_all(response.as_bytes()).await?;
-        Ok(Next::Request)
+        Ok(ConnectionAction::KeepAlive)
     }
 
     async fn work(&self, extra_cost: f64) {
@@ -283,7 +283,7 @@
         };
         let seconds = self.load().request_seconds(self.journal.now()) * (1.0 + extra_cost);
         tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
-        if self.never_answers.load(Ordering::Relaxed) {
+        if self.never_responds.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
     }
--- a/crates/fault-testbed/src/process.rs
+++ b/crates/fault-testbed/src/process.rs
@@ -1,7 +1,7 @@
-//! The daemon's processes: each with addresses, a folder and a log of its own; started, signalled and killed by id.
+//! The daemon's processes, each with its own addresses, folder and log; they are signalled and killed by process id.
 //!
-//! Input: the settings of an ingress and the list that it starts with. Output: a running process, its log and what it
-//! used. Invariant: a process ends with its [`IngressProcess`], and with the testbed.
+//! Input: the settings of an ingress and its initial list. Output: a running process, its log and its resource usage.
+//! Invariant: a process does not outlive its [`IngressProcess`] or the testbed.
 
 use std::fs::File;
 use std::io;
@@ -17,19 +17,19 @@
 use crate::check::Ceiling;
 use crate::list_service::Snapshot;
 
-/// The control file of the preloaded library, in the folder of the trial.
+/// Name of the preloaded library's control file in the folder of the trial.
 pub const CONTROL_FILE: &str = "system-faults";
 
-/// What all processes of an ingress have in common.
+/// Settings that all processes of an ingress share.
 #[derive(Clone, Debug)]
 pub struct IngressConfig {
     /// Its number.
     pub number: usize,
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where it receives datagrams.
+    /// Address for datagrams of peers.
     pub peer_listen: SocketAddr,
-    /// Where it finds the list service.
+    /// Address at which it reaches the list service.
     pub discovery: SocketAddr,
     /// Addresses of its peers, its own included.
     pub peers: Vec<SocketAddr>,
@@ -37,39 +37,39 @@
     pub zone: String,
     /// Names of all zones.
     pub zones: Vec<String>,
-    /// Text of its operator's file, if it gets one.
+    /// Text of its operator's file, if it has one.
     pub operator_file: Option<String>,
-    /// Quota of each customer, units per second; twice as much at once.
+    /// Quota of each customer in units per second, with a burst of two seconds' units.
     pub quota_per_second: f64,
     /// Ceiling of each customer.
     pub ceiling: Ceiling,
-    /// The settings of limit servers that warm up.
+    /// Settings of the warm-up of limit servers.
     pub warmup: WarmupSettings,
 }
 
-/// The platform's settings of limit servers that warm up.
+/// The platform's settings of the warm-up of limit servers.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmupSettings {
-    /// Fraction of its capacity at its start.
+    /// Fraction of the full capacity at the start.
     pub slow_start_fraction: f64,
     /// Duration of the warm-up in seconds.
     pub warmup_seconds: f64,
-    /// Load, as a multiple of its capacity, beyond which it fails.
+    /// Load, as a multiple of the current capacity, beyond which a server fails.
     pub overload_multiple: f64,
-    /// Seconds over which that load is measured.
+    /// Length of the window over which that load is measured, in seconds.
     pub overload_window_seconds: f64,
 }
 
-/// What the running process of an ingress has used.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceUsage {
-    /// Processor time in seconds.
+    /// CPU time in seconds.
     pub cpu_seconds: f64,
-    /// Highest resident memory.
+    /// Peak resident memory.
     pub peak_memory_bytes: u64,
 }
 
-/// The library that makes system calls of the daemon fail, and the file by which it is controlled.
+/// The preloaded library that makes system calls of the daemon fail, and its control file.
 struct Shim {
     library: PathBuf,
     control: PathBuf,
@@ -77,11 +77,11 @@
 
 /// An ingress of a trial, and its current process. The process is killed when this is dropped.
 pub struct IngressProcess {
-    /// What all its processes have in common.
+    /// Settings that all its processes share.
     pub config: IngressConfig,
     program: PathBuf,
     folder: PathBuf,
-    /// Preloaded where cargo has built the library beside the program.
+    /// `None` if cargo has not built the library beside the executable.
     shim: Option<Shim>,
     child: Option<Child>,
     /// Number of processes started so far.
@@ -90,7 +90,7 @@
 }
 
 impl IngressProcess {
-    /// An ingress that does not run yet; its files go into a folder of its own under `folder`.
+    /// An ingress that is not running yet; its files are written to a subfolder of `folder`.
     pub fn new(config: IngressConfig, program: &Path, folder: &Path) -> Self {
         let control = folder.join(CONTROL_FILE);
         let shim = find_shim(program).map(|library| Shim { library, control });
@@ -106,11 +106,11 @@
         }
     }
 
-    /// Starts a process that knows this list; a running one is killed before.
+    /// Starts a process with this initial list; kills the running one first.
     ///
     /// # Errors
     ///
-    /// Errors of the files and of the start.
+    /// Errors of writing its files and of starting the process.
     pub fn start(&mut self, known: &Snapshot) -> io::Result<()> {
         self.kill();
         let temporary = self.folder.join("tmp");
@@ -146,7 +146,7 @@
         Ok(())
     }
 
-    /// Sends the process a signal; nothing where none runs.
+    /// Sends the process a signal; does nothing if there is no process.
     pub fn signal(&mut self, signal: i32) {
         let Some(child) = &self.child else { return };
         self.suspended = match signal {
@@ -154,11 +154,11 @@
             libc::SIGCONT => false,
             _ => self.suspended,
         };
-        // SAFETY: a signal to a child of this process that was not waited for, so the id is still its own.
+        // SAFETY: the child has not been waited for, so its process id cannot have been reused.
         unsafe { libc::kill(child.id() as libc::pid_t, signal) };
     }
 
-    /// Kills the process and waits for its end; nothing where none runs.
+    /// Kills the process and waits for its exit; does nothing if there is no process.
     pub fn kill(&mut self) {
         let Some(mut child) = self.child.take() else {
             return;
@@ -168,24 +168,24 @@
         self.suspended = false;
     }
 
-    /// True while there is a process, suspended or not, whose end was not observed.
+    /// True if there is a process, suspended or not, whose exit has not been observed yet.
     pub fn exists(&self) -> bool {
         self.child.is_some()
     }
 
-    /// The number of the process that exists, counted from 1 by starts.
+    /// Incarnation number of the existing process: the number of starts up to it.
     pub fn incarnation(&self) -> Option<u64> {
         self.child.as_ref().map(|_| self.incarnation)
     }
 
-    /// The exit status of a process that has ended by itself since the last call.
+    /// Exit status of the process, if it has exited without [`kill`](Self::kill) and this was not reported yet.
     pub fn take_exit(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
         Some(status)
     }
 
-    /// True while a process runs that is not suspended.
+    /// True if there is a process and it is not suspended.
     pub fn running(&self) -> bool {
         self.child.is_some() && !self.suspended
     }
@@ -195,7 +195,7 @@
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// What the running process has used.
+    /// Resource usage of the running process.
     pub fn usage(&self) -> Option<ResourceUsage> {
         let id = self.child.as_ref()?.id();
         let schedstat = std::fs::read_to_string(format!("/proc/{id}/schedstat")).ok()?;
@@ -218,7 +218,7 @@
     }
 }
 
-/// The preloaded library beside a program of cargo's, or beside the tests of the same build.
+/// Finds the preloaded library beside an executable built by cargo, or beside the tests of the same build.
 fn find_shim(program: &Path) -> Option<PathBuf> {
     let folder = program.parent()?;
     let candidates = [
@@ -228,7 +228,7 @@
     candidates.into_iter().find(|path| path.exists())
 }
 
-/// The `settings` of the platform's configuration. Its keys are the platform's.
+/// The `settings` object of the platform configuration; the platform defines its keys.
 fn platform_settings(config: &IngressConfig) -> Value {
     let IngressConfig {
         quota_per_second,
@@ -255,7 +255,7 @@
         "specifics": {"mail_per_s": 40.0, "most_units": 1}})
 }
 
-/// Has the system kill the process when the testbed is killed itself; where the testbed ends normally, `drop` does.
+/// Has the kernel kill the process when the testbed is killed. If the testbed ends normally, `drop` kills it.
 fn kill_with_parent(command: &mut Command) {
     // SAFETY: prctl is async-signal-safe and takes plain numbers.
     unsafe {
--- a/crates/fault-testbed/src/run.rs
+++ b/crates/fault-testbed/src/run.rs
@@ -1,6 +1,6 @@
-//! Runs a trial: builds its environment, starts the processes and faults, sends traffic, and judges the journal.
+//! Runs a trial: builds its environment, starts the processes and faults, sends traffic, and checks the journal.
 //!
-//! Input: a [`Trial`] and the daemon's program. Output: a [`TrialOutcome`]. Invariant: no process outlives the run.
+//! Input: a [`Trial`] and the daemon's executable. Output: a [`TrialOutcome`]. Invariant: no process outlives the run.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -18,37 +18,37 @@
 use crate::topology::Topology;
 use crate::trial::{Trial, TrialError};
 
-/// Interval at which processes and triggers are polled: short compared to the durations that trials state.
+/// Interval at which processes and triggers are polled: short compared with the durations in trial files.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Scheduling delay from which on it is recorded, each time that it grows.
+/// Scheduling delay above which it is recorded, each time that it exceeds the highest one so far.
 const RECORDED_SCHEDULING_DELAY_MS: u64 = 5;
-/// Longest wait for ingresses to get ready before clients start anyway.
+/// Maximum time to wait for ingresses to become ready; clients start after that in any case.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Distinguishes the random numbers of the clients from those of the environment.
+/// Makes the random numbers of the clients differ from those of the environment.
 const CLIENT_SEED: u64 = 0xc11e;
 
-/// What came out of a trial.
+/// The result of a trial.
 pub struct TrialOutcome {
     /// The journal.
     pub entries: Vec<Entry>,
-    /// Violations of the rules, a line each.
+    /// Violations of the rules, one line each.
     pub violations: Vec<String>,
     /// Its metrics.
     pub metrics: Metrics,
     /// The highest scheduling delay of the testbed itself, in milliseconds.
     pub scheduling_delay_ms: u64,
-    /// What the checkers went by.
+    /// The settings of the checkers.
     pub settings: CheckerSettings,
-    /// Sizes of the trial.
+    /// Numbers of components.
     pub topology: Topology,
     /// Log of each ingress.
     pub logs: Vec<String>,
-    /// Of the ingresses that ran at the end: their processor time in all, and the highest peak memory of one.
+    /// Of the ingresses that were running at the end: total CPU time, and the highest peak memory of one.
     pub usage: ResourceUsage,
 }
 
 impl TrialOutcome {
-    /// True where the machine was fast enough for the trial: only then its verdict counts.
+    /// True if the scheduling delay of the testbed was low enough for a verdict.
     pub fn valid(&self) -> bool {
         self.scheduling_delay_ms <= self.settings.max_scheduling_delay_ms
     }
@@ -57,22 +57,22 @@
 /// Why a trial could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The trial's file is wrong.
+    /// The trial file is invalid.
     #[error(transparent)]
     Trial(#[from] TrialError),
-    /// A socket, a file, a process or the runtime failed.
+    /// An error of a socket, a file, a process or the runtime.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The daemon's program is not where cargo puts it.
-    #[error("no program 'applewall' beside {}; build it first: make build", .0.display())]
+    /// The daemon's executable is not in the build directory.
+    #[error("executable 'applewall' not found beside {}; run 'make build' first", .0.display())]
     NoProgram(PathBuf),
 }
 
-/// Runs a trial with this program; files go into `folder`.
+/// Runs a trial with this executable; files are written to `folder`.
 ///
 /// # Errors
 ///
-/// Errors of sockets, files and processes: then the trial was not run.
+/// Errors of sockets, files and processes; the trial has no result then.
 pub async fn run(trial: Trial, program: &Path, folder: &Path) -> io::Result<TrialOutcome> {
     let environment = Environment::build(trial, program, folder).await?;
     environment.clone().start()?;
@@ -103,11 +103,11 @@
     )
 }
 
-/// Reads a trial and runs it on a runtime of its own, in a temporary folder.
+/// Parses a trial file and runs the trial on a new runtime, in a temporary folder.
 ///
 /// # Errors
 ///
-/// What is wrong with the trial, and errors of sockets, files and processes.
+/// An invalid trial file, and errors of sockets, files and processes.
 pub fn run_text(text: &str, program: &Path) -> Result<TrialOutcome, RunError> {
     let folder = tempfile::tempdir()?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    /// Ends the tasks, kills the processes and judges the journal.
+    /// Aborts the tasks, kills the processes and checks the journal.
     fn finish(&self) -> TrialOutcome {
         let mut ingresses = self.ingresses();
         let mut usage = ResourceUsage::default();
@@ -161,7 +161,7 @@
     }
 }
 
-/// Records by how much a sleep of the testbed ends late, each time that it is later than before.
+/// Measures how late timers of the testbed fire, and records each new maximum.
 async fn record_scheduling_delay(journal: Journal) {
     let mut recorded_ms = RECORDED_SCHEDULING_DELAY_MS;
     loop {
@@ -176,11 +176,11 @@
     }
 }
 
-/// The daemon's program, where cargo puts it: beside this one, or one folder up for tests.
+/// Finds the daemon's executable in cargo's build directory: beside this executable, or one folder up for tests.
 ///
 /// # Errors
 ///
-/// It is not there.
+/// The executable does not exist.
 pub fn find_program() -> Result<PathBuf, RunError> {
     let own = std::env::current_exe()?;
     let mut candidates = own
