--- a/crates/fault-testbed/src/bin/applewall-fault-testbed.rs
+++ b/crates/fault-testbed/src/bin/applewall-fault-testbed.rs
@@ -1,5 +1,5 @@
-//! Runs one trial of many real processes of the daemon and prints its figures and verdict; writes a page, the journal
-//! and the logs.
+//! Runs a trial of many real processes of the daemon, prints its metrics and verdict, and writes the report, the journal and the
+//! logs.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,10 +11,10 @@
 use applewall_fault_testbed::{check::SecondCounts, journal};
 
 const USAGE: &str = "usage: applewall-fault-testbed play FILE [--program PATH] [--seed N] [--out FOLDER] | schema | help\n\n\
-    status 0: every rule kept; 1: a rule broken, or what cannot be read; 3: the machine could not play the trial";
-/// Exit status where the machine was too slow for a verdict.
+    exit status 0: no rule violated; 1: a rule violated, or an error; 3: no verdict, the machine was too slow";
+/// Exit status if the machine was too slow for a verdict.
 const NO_VERDICT: u8 = 3;
-/// Violations that are printed.
+/// Maximum number of violations that are printed.
 const MAX_PRINTED_VIOLATIONS: usize = 20;
 
 /// Arguments of `play`.
@@ -114,7 +114,7 @@
     let outcome = runtime.block_on(async {
         tokio::select! {
             outcome = run::run(trial, &program, folder.path()) => Ok(outcome?),
-            // The processes are killed with the environment, which the dropped run owns.
+            // Dropping the run drops its environment, which kills the processes.
             _ = tokio::signal::ctrl_c() => Err(Error::Interrupted),
         }
     })?;
@@ -122,7 +122,7 @@
     Ok(outcome)
 }
 
-/// Writes the journal, the page and the logs into a folder.
+/// Writes the journal, the report and the logs into a folder.
 fn write_results(outcome: &TrialOutcome, title: &str, out: &Path) -> Result<(), Error> {
     let write = |name: &str, text: &[u8]| {
         let path = out.join(name);
@@ -135,15 +135,15 @@
     for (number, log) in outcome.logs.iter().enumerate() {
         write(&format!("n{number}.log"), log.as_bytes())?;
     }
-    let page = out.join("report.svg");
-    println!("journal, logs and the page: {}", page.display());
+    let report = out.join("report.svg");
+    println!("report (journal and logs beside it): {}", report.display());
     Ok(())
 }
 
-fn print_figures(outcome: &TrialOutcome) {
+fn print_metrics(outcome: &TrialOutcome) {
     let metrics = &outcome.metrics;
     println!(
-        "asked {}, served in time {:.3}, refused {}, unreached {}; first served after {:.2} s",
+        "requests: {} sent, {:.3} of them served in time, {} rejected, {} not accepted; first served after {:.2} s",
         metrics.requests_sent,
         metrics.served_in_time_fraction(),
         metrics.rejected,
@@ -151,7 +151,8 @@
         metrics.first_served_seconds.unwrap_or(f64::NAN)
     );
     println!(
-        "list service: {} calls ({} turned away), {} whole lists, most in 100 ms {}, in 1 s {}; {} listed, last after {:.2} s",
+        "list service: {} requests ({} rejected), {} full lists, at most {} requests in 100 ms and {} in 1 s; \
+         {} ingresses with a list, the last after {:.2} s",
         metrics.list_requests,
         metrics.list_rejections,
         metrics.full_lists,
@@ -161,7 +162,8 @@
         metrics.first_list_seconds.last().copied().unwrap_or(f64::NAN)
     );
     println!(
-        "limit servers: {} attempts, most connections at one in 100 ms {}, cold budget used {:.2}; datagrams {} taken, {} dropped",
+        "limit servers: {} attempts, at most {} new connections to one in 100 ms, peak load in warm-up {:.2} of the overload; \
+         datagrams: {} accepted, {} dropped",
         metrics.attempts,
         metrics.max_connections_opened_per_100ms,
         metrics.peak_warmup_overload,
@@ -172,13 +174,13 @@
         format!("{second}s {}/{}", counts.served_in_time, counts.sent)
     };
     let seconds: Vec<String> = metrics.per_second.iter().enumerate().map(second).collect();
-    println!("by second: {}", seconds.join(", "));
+    println!("served in time/sent by second: {}", seconds.join(", "));
     println!(
-        "testbed late by {} ms at the worst; ingresses used {:.2} s of processor",
+        "scheduling delay of the testbed: at most {} ms; CPU time of the ingresses: {:.2} s",
         outcome.scheduling_delay_ms, outcome.usage.cpu_seconds
     );
     for violation in outcome.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
-        println!("BROKEN {violation}");
+        println!("VIOLATION: {violation}");
     }
 }
 
@@ -186,7 +188,8 @@
 fn verdict(outcome: &TrialOutcome) -> ExitCode {
     if !outcome.valid() {
         let delay = outcome.scheduling_delay_ms;
-        println!("verdict none: the testbed was late by {delay} ms");
+        let allowed = outcome.settings.max_scheduling_delay_ms;
+        println!("verdict none: scheduling delay of the testbed {delay} ms, allowed {allowed} ms");
         return ExitCode::from(NO_VERDICT);
     }
     let passed = outcome.violations.is_empty();
@@ -209,7 +212,7 @@
     match result {
         Ok(None) => ExitCode::SUCCESS,
         Ok(Some(outcome)) => {
-            print_figures(&outcome);
+            print_metrics(&outcome);
             verdict(&outcome)
         }
         Err(error) => {
--- a/crates/fault-testbed/src/bin/fault-soak.rs
+++ b/crates/fault-testbed/src/bin/fault-soak.rs
@@ -1,6 +1,5 @@
-//! Plays random schedules of overlapping faults on real processes, one seed after the other; prints how many requests,
-//! attempts and other events the rules were checked on, and for each failure the seed, the faults that matter and the
-//! command that plays it again.
+//! Runs trials with random schedules of overlapping faults, one seed after another. Prints how many requests, attempts and other
+//! events the rules were checked on, and for each failure the seed, the faults that cause it and the command that repeats it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -11,11 +10,11 @@
 use applewall_fault_testbed::soak::{self, Schedule, SoakSizes};
 
 const USAGE: &str = "usage: fault-soak [--from SEED] [--seeds N] [--ingresses N] [--program PATH] [--out FOLDER] [--no-shrink]\n\n\
-    status 0: every rule kept; 1: a rule broken, or an error; 3: no seed had a verdict";
-/// Exit status where the machine was too slow for any verdict.
+    exit status 0: no rule violated; 1: a rule violated, or an error; 3: no seed had a verdict";
+/// Exit status if the machine was too slow for any verdict.
 const NO_VERDICT: u8 = 3;
 const INSTANCES: usize = 10;
-/// Violations of one seed that are printed.
+/// Maximum number of violations of one seed that are printed.
 const MAX_PRINTED_VIOLATIONS: usize = 8;
 
 struct Arguments {
@@ -40,7 +39,7 @@
     },
 }
 
-/// What the rules were checked on by the seeds so far.
+/// Counts of the events on which the rules were checked so far.
 #[derive(Default)]
 struct Coverage {
     valid: u64,
@@ -90,12 +89,13 @@
 
     fn print(&self) {
         println!(
-            "seeds with a verdict {}, without {}; broken {:?}",
+            "seeds: {} with a verdict, {} without; violations at seeds {:?}",
             self.valid, self.invalid, self.failed
         );
         println!(
-            "held against: {} requests (one final answer), {} attempts (never two in flight), {} deadlines told, \
-             {} clients that left, {} half requests, {} graceful exits, {} removals listed, {} cold starts; {} pairs of kinds of faults",
+            "checked: {} requests (one final response each), {} attempts (never two in flight), {} forwarded deadlines, \
+             {} clients that left, {} half requests, {} exits of processes, {} removals listed, {} warm-ups; \
+             {} pairs of kinds of faults",
             self.requests,
             self.attempts,
             self.deadlines,
@@ -106,7 +106,7 @@
             self.warmups,
             self.pairs.len()
         );
-        println!("final answers by status: {:?}", self.statuses);
+        println!("final responses by status: {:?}", self.statuses);
     }
 }
 
@@ -138,7 +138,7 @@
     Ok(arguments)
 }
 
-/// Writes the trial of a failed seed, and prints the command that plays it again.
+/// Writes the trial file of a failed seed, and prints its faults, its violations and the command that repeats it.
 fn report(
     arguments: &Arguments,
     seed: u64,
@@ -152,7 +152,7 @@
         path: file.clone(),
         source,
     })?;
-    println!("seed {seed} BROKEN; its faults:");
+    println!("seed {seed}: rules violated with these faults:");
     for (name, line) in schedule {
         println!("    {name} = {line}");
     }
@@ -160,7 +160,7 @@
         println!("  {violation}");
     }
     println!(
-        "  again: target/debug/applewall-fault-testbed play {}",
+        "  repeat with: target/debug/applewall-fault-testbed play {}",
         file.display()
     );
     Ok(())
@@ -177,7 +177,7 @@
         if !outcome.valid() {
             coverage.invalid += 1;
             println!(
-                "seed {seed} no verdict: late by {} ms",
+                "seed {seed}: no verdict, scheduling delay of the testbed {} ms",
                 outcome.scheduling_delay_ms
             );
             continue;
@@ -185,7 +185,7 @@
         coverage.valid += 1;
         coverage.add(&outcome, &schedule);
         if outcome.violations.is_empty() {
-            println!("seed {seed} kept");
+            println!("seed {seed}: no violation");
             continue;
         }
         coverage.failed.push(seed);
@@ -196,7 +196,7 @@
                     .is_ok_and(|outcome| outcome.valid() && !outcome.violations.is_empty())
             });
             println!(
-                "  enough to break it again: {:?}",
+                "  reduced to the faults {:?}",
                 smallest.keys().collect::<Vec<_>>()
             );
         }
--- a/crates/fault-testbed/src/bin/measure-cold-start.rs
+++ b/crates/fault-testbed/src/bin/measure-cold-start.rs
@@ -1,4 +1,4 @@
-//! Measures cold starts of many real processes: this program, and an earlier one beside it where it is named.
+//! Measures cold starts of many real processes, with an earlier program for comparison if the command line names one.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -14,35 +14,37 @@
 const DEFAULT_SIZES: [usize; 3] = [24, 100, 200];
 /// Name of the program under test; the only variant that is judged.
 const NOW: &str = "now";
-/// Goal: fraction served in time once all have their list, where no limit server warms up.
+/// Goal: minimum fraction served in time once all ingresses have a list, if limit servers need no warm-up.
 const MIN_SERVED_FRACTION: f64 = 0.95;
-/// Goal: the last list comes within the time that the service's rate allows for all lists times this factor, and
+/// Goal: the last list is sent within this multiple of the time that all lists take at the service's rate, plus
 /// [`START_SECONDS`].
 const LAST_LIST_FACTOR: f64 = 1.25;
-/// Seconds that processes need to start.
+/// Allowance for the start of the processes, in seconds.
 const START_SECONDS: f64 = 0.5;
-/// Goal: seconds after which the first request is served, where limit servers warm up.
+/// Goal: maximum time until the first request is served if limit servers have to warm up, in seconds.
 const MAX_FIRST_SERVED_SECONDS: f64 = 1.0;
-/// Goal: requests at the list service within a second, as a factor of its rate and a number besides.
+/// Goal: maximum number of requests at the list service within a second, as a multiple of its rate plus
+/// [`EXTRA_LIST_REQUESTS`].
 const LIST_REQUEST_FACTOR: f64 = 1.25;
+/// See [`LIST_REQUEST_FACTOR`].
 const EXTRA_LIST_REQUESTS: f64 = 3.0;
-/// Seconds in which the list service can send every ingress its list.
+/// Time in which the list service can send every ingress its list, in seconds.
 const ALL_LISTS_SECONDS: f64 = 5.0;
-/// Seconds by which the traffic is longer than [`Row::seconds`]: those for all lists, and one in reserve.
+/// Seconds of traffic in addition to [`Row::seconds`]: [`ALL_LISTS_SECONDS`], and one in reserve.
 const EXTRA_SECONDS: u64 = 6;
-/// Rate of the startup schedule of the program under test, as a fraction of the list service's.
+/// Call rate of the startup schedule of the program under test, as a fraction of the list service's rate.
 const SCHEDULED_FRACTION: f64 = 0.9;
 
 /// One row of the table.
 struct Row {
     name: &'static str,
-    /// Ingresses start with the list as it was at the trial's start; otherwise with none.
+    /// Whether ingresses start with the list of the trial's start; otherwise they start with none.
     starts_with_list: bool,
-    /// Seconds of traffic, besides those that the service needs for all lists.
+    /// Seconds of traffic, without [`EXTRA_SECONDS`].
     seconds: u64,
-    /// Limit servers have to warm up.
+    /// Whether limit servers have to warm up.
     instances_warm_up: bool,
-    /// Seconds from the start for which the list service is silent.
+    /// Time from the start for which the list service is silent, in seconds.
     silent_seconds: u32,
 }
 
@@ -69,7 +71,7 @@
         silent_seconds: 3,
     },
     Row {
-        name: "old list, servers cold",
+        name: "old list, servers warming up",
         starts_with_list: true,
         seconds: 6,
         instances_warm_up: true,
@@ -78,7 +80,7 @@
 ];
 
 impl Row {
-    /// The sections that it adds to the trial's file.
+    /// The sections that the row adds to the trial file.
     fn sections(&self) -> String {
         let mut sections = String::new();
         if self.starts_with_list {
@@ -97,45 +99,58 @@
     }
 }
 
-/// Lists per second that the service sends.
+/// Lists per second that the list service sends at most.
 fn lists_per_second(size: usize) -> f64 {
     size as f64 / ALL_LISTS_SECONDS
 }
 
-/// Goals that a trial missed, and rules that it broke.
+/// Goals that a trial missed, and violations of rules.
 fn missed_goals(row: &Row, size: usize, outcome: &TrialOutcome) -> Vec<String> {
     let metrics = &outcome.metrics;
     let mut missed = outcome.violations.clone();
     let mut expect = |met: bool, goal: String| missed.extend((!met).then_some(goal));
-    // Where nothing changed, the service answers a watch from an old list only when it times out: that is not late.
+    // If nothing has changed, the service responds to a watch from an old list only when the watch times out, so there is no goal
+    // on the time of the last list.
     if row.starts_with_list {
-        let goal = format!("{} whole lists where changes do", metrics.full_lists);
+        let goal = format!(
+            "{} full lists sent where changes suffice",
+            metrics.full_lists
+        );
         expect(metrics.full_lists == 0, goal);
     } else {
         let listed = metrics.first_list_seconds.len();
-        expect(listed == size, format!("{listed} of {size} have a list"));
+        expect(
+            listed == size,
+            format!("{listed} of {size} ingresses received a list"),
+        );
         let last = metrics.first_list_seconds.last().copied();
         let last = last.unwrap_or(f64::INFINITY);
         let limit = (size as f64 / lists_per_second(size)) * LAST_LIST_FACTOR
             + START_SECONDS
             + f64::from(row.silent_seconds) * 2.0;
-        let goal = format!("the last list after {last:.2} s, {limit:.2} s at most");
+        let goal = format!("last list after {last:.2} s, at most {limit:.2} s allowed");
         expect(last <= limit, goal);
-        let goal = format!("{} whole lists", metrics.full_lists);
+        let goal = format!(
+            "{} full lists sent, at most {size} allowed",
+            metrics.full_lists
+        );
         expect(metrics.full_lists <= size, goal);
     }
     let requests = metrics.max_list_requests_per_second;
     let limit = LIST_REQUEST_FACTOR * lists_per_second(size) + EXTRA_LIST_REQUESTS;
-    let goal = format!("{requests} calls in a second, {limit:.0} at most");
+    let goal = format!("{requests} list requests within a second, at most {limit:.0} allowed");
     expect(requests as f64 <= limit, goal);
     if row.instances_warm_up {
         let first = metrics.first_served_seconds;
-        let goal = format!("first served {first:?}");
+        let goal = format!(
+            "first request served after {:.2} s, at most {MAX_FIRST_SERVED_SECONDS:.2} s allowed",
+            first.unwrap_or(f64::INFINITY)
+        );
         expect(first.is_some_and(|at| at < MAX_FIRST_SERVED_SECONDS), goal);
     } else {
         let end = metrics.per_second.len().saturating_sub(1);
         let served = metrics.served_in_time_fraction_between(end.saturating_sub(2), end);
-        let goal = format!("{served:.3} in time at the end");
+        let goal = format!("{served:.3} served in time at the end");
         expect(served >= MIN_SERVED_FRACTION, goal);
     }
     missed
@@ -149,15 +164,15 @@
         "ingresses",
         "start",
         "seed",
-        "in time",
-        "first s",
-        "calls",
-        "away",
-        "whole",
-        "in 100 ms",
+        "served in time",
+        "first served s",
+        "list requests",
+        "rejected",
+        "full lists",
+        "list requests in 100 ms",
         "last list s",
-        "dials",
-        "cold",
+        "connections in 100 ms",
+        "peak warm-up load",
         "",
     ];
 
--- a/crates/fault-testbed/src/bin/measure-zones.rs
+++ b/crates/fault-testbed/src/bin/measure-zones.rs
@@ -1,5 +1,5 @@
-//! Measures how a fleet of many real processes leaves a zone that fails, and returns to it: with zone failover on and
-//! off, and an earlier program beside them where it is named.
+//! Measures how a fleet of many real processes leaves a failed zone and returns to it: with zone failover on and off, and with
+//! an earlier program for comparison if the command line names one.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -15,83 +15,83 @@
     "measure-zones [--before PROGRAM] [--seeds N] [--sizes 24,100]",
 );
 const DEFAULT_SIZES: [usize; 2] = [24, 100];
-/// Name of the program with zone failover; the only variant that is judged.
+/// Name of the variant with zone failover; the only one that is judged.
 const ON: &str = "on";
-/// Name of the same program without it.
+/// Name of the variant of the same program without zone failover.
 const OFF: &str = "off";
-/// When the zone fails, in seconds; the traffic before it is the reference.
+/// Start of the zone's failure, in seconds; the traffic before it is the reference.
 const FAILURE_START: f64 = 4.0;
-/// How long it fails, in seconds.
+/// Duration of the failure, in seconds.
 const FAILURE_SECONDS: f64 = 5.0;
-/// When it works again, in seconds.
+/// End of the failure, in seconds.
 const FAILURE_END: f64 = FAILURE_START + FAILURE_SECONDS;
-/// Seconds of traffic.
+/// Duration of the traffic, in seconds.
 const TRIAL_SECONDS: f64 = 24.0;
 const ZONES: usize = 3;
 const INSTANCES_PER_ZONE: usize = 7;
 /// Requests per second of all ingresses.
 const FLEET_REQUESTS_PER_SECOND: f64 = 192.0;
-/// Goal: fraction served in time while the zone fails, from the second second on.
+/// Goal: minimum fraction served in time during the failure, from its second second on.
 const MIN_SERVED_FRACTION: f64 = 0.95;
-/// Goal: requests per second into the failed zone, from the third second on: what canary traffic may be.
+/// Goal: maximum requests per second into the failed zone from its third second on, the limit on canary traffic.
 const MAX_CANARY_REQUESTS: f64 = 6.0;
 /// Fraction of the reference traffic that counts as full traffic.
 const FULL_TRAFFIC_FRACTION: f64 = 0.8;
-/// Seconds after the failure in which full traffic is looked for.
+/// Seconds after the failure in which the return of full traffic is looked for.
 const RETURN_SECONDS: usize = 14;
 
-/// A way to fail.
+/// A kind of failure.
 struct Row {
     name: &'static str,
     fault: &'static str,
-    /// All limit servers of the zone fail, so that the fleet has to leave it.
+    /// True if all limit servers of the zone fail, so that the fleet has to leave it.
     zone_fails: bool,
 }
 
 const ROWS: [Row; 4] = [
     Row {
-        name: "says nothing",
+        name: "no responses",
         fault: "mute instance:zone=0",
         zone_fails: true,
     },
     Row {
-        name: "takes 2 s",
+        name: "responses 2 s late",
         fault: "link instance:zone=0 -> ingress:all delay 2s",
         zone_fails: true,
     },
     Row {
-        name: "answers 500 at once",
+        name: "responds 500",
         fault: "fails instance:zone=0",
         zone_fails: true,
     },
     Row {
-        name: "one server says nothing",
+        name: "one server: no responses",
         fault: "mute instance:0",
         zone_fails: false,
     },
 ];
 
-/// What a trial shows of the failover.
+/// Failover metrics of a trial.
 struct Failover {
-    /// Attempts into the zone in each second of its failure.
+    /// Attempts into the failed zone in each second of its failure.
     attempts_per_second: Vec<usize>,
-    /// Ingresses that sent any of them.
+    /// Ingresses that sent any of these attempts.
     affected_ingresses: usize,
-    /// Fraction served in time while it failed.
-    served_meanwhile: f64,
-    /// Fraction served in time in the last three seconds.
+    /// Fraction served in time during the failure, from its second second on.
+    served_during_failure: f64,
+    /// Fraction served in time in the three seconds before the last one.
     served_at_end: f64,
-    /// Ingresses that left it.
+    /// Ingresses that left the failed zone.
     left: usize,
     /// Ingresses that left another zone.
     left_wrongly: usize,
-    /// Seconds until full traffic in the zone after the failure; `None`: not within the trial.
+    /// Seconds from the end of the failure to full traffic in the zone; `None`: not within the trial.
     returned_after: Option<usize>,
-    /// Datagrams per ingress and second.
+    /// Datagrams received per ingress and second.
     datagrams_per_second: f64,
 }
 
-/// Ingresses of the attempts into the failing zone within a time, one by one.
+/// The sending ingress of each attempt into the failed zone between two times.
 fn attempts_into_zone(
     outcome: &TrialOutcome,
     from: f64,
@@ -110,12 +110,12 @@
 
 fn failover(outcome: &TrialOutcome) -> Failover {
     let in_second = |start: f64| attempts_into_zone(outcome, start, start + 1.0).count();
-    let usual =
+    let reference =
         attempts_into_zone(outcome, FAILURE_START - 3.0, FAILURE_START).count() as f64 / 3.0;
     let affected: BTreeSet<usize> =
         attempts_into_zone(outcome, FAILURE_START, FAILURE_END).collect();
     let full_traffic = |second: &usize| {
-        in_second(FAILURE_END + *second as f64) as f64 > FULL_TRAFFIC_FRACTION * usual
+        in_second(FAILURE_END + *second as f64) as f64 > FULL_TRAFFIC_FRACTION * reference
     };
     let left = |zone: &str| {
         let line = format!("zone failover state changed: zone={zone} transition=left");
@@ -133,7 +133,7 @@
             .map(|second| in_second(FAILURE_START + second as f64))
             .collect(),
         affected_ingresses: affected.len(),
-        served_meanwhile: served(FAILURE_START + 1.0, FAILURE_END),
+        served_during_failure: served(FAILURE_START + 1.0, FAILURE_END),
         served_at_end: served(TRIAL_SECONDS - 4.0, TRIAL_SECONDS - 1.0),
         left: left("z0"),
         left_wrongly: left("z1") + left("z2"),
@@ -152,7 +152,9 @@
         } else {
             self.left == 0
         };
-        self.left_wrongly == 0 && self.served_meanwhile >= MIN_SERVED_FRACTION && left_as_needed
+        self.left_wrongly == 0
+            && self.served_during_failure >= MIN_SERVED_FRACTION
+            && left_as_needed
     }
 }
 
@@ -162,16 +164,16 @@
     const COLUMNS: &'static [&'static str] = &[
         "program",
         "ingresses",
-        "zone 0",
+        "failure of zone 0",
         "seed",
-        "requests into it, by second",
-        "paid",
-        "in time meanwhile, at the end",
-        "left",
-        "wrongly",
-        "full again, s",
-        "datagrams each a second",
-        "cold",
+        "attempts into it, by second",
+        "ingresses affected",
+        "in time during failure, at end",
+        "left zone 0",
+        "left others",
+        "full traffic after s",
+        "datagrams/s per ingress",
+        "peak warm-up load",
     ];
 
     fn rows(&self) -> usize {
@@ -214,7 +216,7 @@
             failover.affected_ingresses.to_string(),
             format!(
                 "{:.3}, {:.3}",
-                failover.served_meanwhile, failover.served_at_end
+                failover.served_during_failure, failover.served_at_end
             ),
             failover.left.to_string(),
             failover.left_wrongly.to_string(),
@@ -226,7 +228,7 @@
 
     fn judge(&self, run: &Run<'_>, outcome: &TrialOutcome) -> Option<Judgement> {
         let violations = &outcome.violations;
-        let line = |violation: &String| format!("BROKEN {violation}");
+        let line = |violation: &String| format!("VIOLATION: {violation}");
         (run.variant.name == ON).then(|| Judgement {
             missed: !violations.is_empty() || !failover(outcome).meets_goals(&ROWS[run.row]),
             lines: violations.iter().map(line).collect(),
--- a/crates/fault-testbed/src/capacity/tests.rs
+++ b/crates/fault-testbed/src/capacity/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_warming_server_survives_twice_its_capacity_and_fails_at_five_times_that() {
+fn server_that_warms_up_survives_twice_its_capacity_and_fails_at_four_and_a_half_times() {
     let capacity = MODEL.requests_per_second(0.0);
     assert!((4.7..4.8).contains(&capacity), "{capacity}");
     assert!(survives(2.0 * capacity, 0.0) && !survives(4.5 * capacity, 0.0));
--- a/crates/fault-testbed/src/clients.rs
+++ b/crates/fault-testbed/src/clients.rs
@@ -1,7 +1,7 @@
-//! The clients of a trial: requests at random times, to the ingresses of each customer; some refused ones are retried.
+//! The clients of a trial. They send requests at random times to the ingresses of each customer, and retry some rejected ones.
 //!
 //! Input: the behavior of the clients, the ingresses' addresses, a seed. Output: journal entries on each request.
-//! Invariant: requests are sent at times drawn ahead and never wait for responses.
+//! Invariant: the load is open-loop, the times of requests are drawn in advance and do not depend on responses.
 
 mod exchange;
 mod shutdown;
@@ -20,51 +20,50 @@
 use crate::journal::{Event, Journal};
 use crate::network::Network;
 
-/// Step between the first ingresses of consecutive customers: a prime, so that customers are distributed over all ingresses.
+/// Distance between the first ingresses of consecutive customers: a prime, so that customers are distributed over all ingresses.
 const CUSTOMER_STRIDE: usize = 7919;
-/// Minimum wait before a retry: a `Retry-After` of zero would have the client retry in a loop.
+/// Minimum wait before a retry: with a `Retry-After` of zero the client would retry in a tight loop.
 const MIN_RETRY_WAIT: Duration = Duration::from_millis(20);
-/// Wait before a retry where the response names none, in seconds.
+/// Wait before a retry if the response has no `Retry-After`, in seconds.
 const DEFAULT_RETRY_SECONDS: f64 = 0.05;
-/// Time after which a client that sent half a request gives up: longer than the rule allows the ingress to wait for the
-/// rest.
+/// Time after which a client that sent half a request gives up: longer than the rules allow the ingress to wait for the rest.
 const HALF_REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
-/// Time from a request to the end of its connection, where the client does not wait for the response.
+/// Time after which a client that leaves early closes its connection.
 const LEAVE_DELAY: Duration = Duration::from_millis(30);
-/// Longest wait before a retry, in seconds, whatever the response names.
+/// Maximum wait before a retry, in seconds, whatever the `Retry-After` of the response is.
 const MAX_RETRY_SECONDS: f64 = 60.0;
 
-/// What clients do.
+/// Request rate and behavior of the clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientBehavior {
-    /// Mean requests per second at each ingress, by a Poisson process.
+    /// Mean requests per second at each ingress; arrivals are a Poisson process.
     pub requests_per_second: f64,
-    /// Number of customers; each request is of a random one.
+    /// Number of customers; each request is sent by a random one.
     pub customers: u64,
     /// Number of ingresses that each customer uses.
     pub ingresses_per_customer: usize,
-    /// Probability that a refused request is retried, once.
+    /// Probability that a rejected request is retried, once.
     pub retry_probability: f64,
-    /// Probability that a client closes its connection before its response.
+    /// Probability that a client closes its connection before it receives the response.
     pub leave_probability: f64,
-    /// Probability that a client sends half a request and stays.
+    /// Probability that a client sends half a request and keeps its connection open.
     pub half_probability: f64,
     /// Time after which a client gives up on a response.
     pub timeout: Duration,
 }
 
-/// The clients, and their idle connections.
+/// The clients and their idle connections.
 pub struct Clients {
     behavior: ClientBehavior,
     addresses: Vec<SocketAddr>,
-    /// By ingress.
+    /// Idle connections by ingress.
     idle_connections: Vec<Mutex<Vec<TcpStream>>>,
     network: Network,
     journal: Journal,
     next_id: AtomicU64,
 }
 
-/// A customer, and the consecutive ingresses that it uses.
+/// A customer and the consecutive ingresses that it uses.
 #[derive(Clone, Copy)]
 struct Customer {
     id: u64,
@@ -90,7 +89,7 @@
         })
     }
 
-    /// Sends requests for this time; returns once the last one has its response or timed out.
+    /// Sends requests for this time; returns once each of them has its response or has timed out.
     pub async fn run(self: Arc<Self>, time: Duration, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let rate = self.behavior.requests_per_second * self.addresses.len() as f64;
@@ -122,7 +121,7 @@
             || (customer.first_ingress + rng.random_range(0..customer.ingresses)) % count;
         let (first, retried) = (ingress(), ingress());
         if rng.random_bool(self.behavior.half_probability) {
-            return self.half_request(first, customer).await;
+            return self.send_half_request(first, customer).await;
         }
         if rng.random_bool(self.behavior.leave_probability) {
             return self.request_and_leave(first, customer).await;
@@ -137,8 +136,8 @@
         }
     }
 
-    /// Sends half a request, and waits for the end of its connection.
-    async fn half_request(&self, ingress: usize, customer: Customer) {
+    /// Sends half a request and waits until the ingress closes the connection.
+    async fn send_half_request(&self, ingress: usize, customer: Customer) {
         let request = self.next_request(ingress, customer);
         let Ok(mut stream) = TcpStream::connect(self.addresses[ingress]).await else {
             return;
@@ -157,7 +156,7 @@
         });
     }
 
-    /// Sends a request, and closes its connection after [`LEAVE_DELAY`].
+    /// Sends a request and closes its connection after [`LEAVE_DELAY`], unless there is a response by then.
     async fn request_and_leave(&self, ingress: usize, customer: Customer) {
         let request = self.next_request(ingress, customer);
         let Ok(mut stream) = TcpStream::connect(self.addresses[ingress]).await else {
@@ -179,7 +178,7 @@
         }
     }
 
-    /// Sends a request and waits for its response; where it is refused, returns the time to wait before a retry.
+    /// Sends a request and waits for its response; if that is a rejection, returns the time to wait before a retry.
     async fn request(&self, ingress: usize, customer: Customer) -> Option<Duration> {
         let request = self.next_request(ingress, customer);
         let deadline = Instant::now() + self.behavior.timeout;
--- a/crates/fault-testbed/src/clients/exchange.rs
+++ b/crates/fault-testbed/src/clients/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response, through the links between clients and ingresses.
+//! A single request and its response, under the condition of the links between clients and ingresses.
 
 use std::io;
 use std::sync::atomic::Ordering;
@@ -12,7 +12,7 @@
 use crate::journal::Event;
 use crate::topology::Component;
 
-/// One request, as it is sent.
+/// A request as it is sent.
 pub(super) struct Request {
     pub(super) id: u64,
     customer: u64,
@@ -21,7 +21,7 @@
 }
 
 impl Clients {
-    /// A request of a customer under a new id.
+    /// A request of a customer with a new id.
     pub(super) fn next_request(&self, ingress: usize, customer: Customer) -> Request {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let text = format!(
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends a request through the link to its ingress and reads the response. `sent` is true once it is written on a
+    /// Sends a request over the link to its ingress and reads the response. `sent` is true once the request is written to a
     /// connection that the ingress had not closed.
     pub(super) async fn exchange(&self, request: &Request, sent: &mut bool) -> io::Result<Message> {
         let ingress = request.ingress;
@@ -61,7 +61,7 @@
             None => self.exchange_on_new_connection(request, sent).await?,
             Some(mut stream) => match self.exchange_on(&mut stream, request, sent).await {
                 Ok(Some(response)) => (stream, response),
-                // An ingress may close an idle connection while a request is on its way: it is sent once more.
+                // The ingress may close an idle connection while a request is in transit; the client sends it again then.
                 Ok(None) | Err(_) => {
                     *sent = false;
                     self.exchange_on_new_connection(request, sent).await?
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Writes a request and reads its response; `None` where the connection ends before its first byte.
+    /// Writes a request and reads its response; `None` if the connection is closed before the first byte of the response.
     pub(super) async fn exchange_on(
         &self,
         stream: &mut TcpStream,
--- a/crates/fault-testbed/src/clients/shutdown.rs
+++ b/crates/fault-testbed/src/clients/shutdown.rs
@@ -1,8 +1,8 @@
-//! Clients of an ingress that is told to end: they use every connection that stays open until it is closed, others rest until
-//! then, and new ones come for a moment.
+//! Clients of an ingress that shuts down. Some send requests on their connections until the ingress closes them, some keep
+//! idle connections, and for a short time after SIGTERM new ones connect.
 //!
-//! Input: an ingress that runs. Output: journal entries on each request. Invariant: a request whose connection ends without a
-//! response is recorded as not accepted; the checkers hold that against the attempts that arrived.
+//! Input: a running ingress. Output: journal entries on each request. Invariant: a request whose connection is closed without a
+//! response is recorded as not accepted; the checkers report it if an attempt of it has arrived at a limit server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,28 +17,28 @@
 use super::{Clients, Customer};
 use crate::journal::Event;
 
-/// Connections that send one request after the other.
-const BUSY_CONNECTIONS: usize = 6;
-/// Connections that send one request and rest.
-const RESTING_CONNECTIONS: usize = 3;
-/// Time for which new connections come after SIGTERM.
+/// Connections that send one request after another.
+const ACTIVE_CONNECTIONS: usize = 6;
+/// Connections that send one request and are idle after it.
+const IDLE_CONNECTIONS: usize = 3;
+/// Time after SIGTERM in which clients open new connections.
 pub(crate) const NEW_CONNECTIONS_TIME: Duration = Duration::from_millis(400);
-/// Time between two new connections.
+/// Interval of new connections.
 const NEW_CONNECTION_INTERVAL: Duration = Duration::from_millis(40);
-/// Longest pause of a busy connection between a response and the next request.
+/// Maximum pause of an active connection between a response and the next request.
 const MAX_PAUSE: Duration = Duration::from_millis(300);
 
-/// What a client does between its requests.
+/// What a client does with its connection after a response.
 #[derive(Clone, Copy)]
-enum Use {
-    /// It sends the next one after a pause.
-    Busy,
-    /// It rests until its connection is closed.
-    Resting,
+enum ConnectionUse {
+    /// It sends the next request after a pause.
+    Active,
+    /// It keeps the connection idle until the ingress closes it.
+    Idle,
 }
 
 impl Clients {
-    /// Opens connections to an ingress and uses them until each is closed.
+    /// Opens connections to an ingress; their tasks end once the ingress has closed them.
     pub(crate) fn open_connections_before_shutdown(
         self: &Arc<Self>,
         ingress: usize,
@@ -46,16 +46,16 @@
     ) -> JoinSet<()> {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut connections = JoinSet::new();
-        let busy = std::iter::repeat_n(Use::Busy, BUSY_CONNECTIONS);
-        let resting = std::iter::repeat_n(Use::Resting, RESTING_CONNECTIONS);
-        for usage in busy.chain(resting) {
+        let active = std::iter::repeat_n(ConnectionUse::Active, ACTIVE_CONNECTIONS);
+        let idle = std::iter::repeat_n(ConnectionUse::Idle, IDLE_CONNECTIONS);
+        for usage in active.chain(idle) {
             let rng = SmallRng::seed_from_u64(rng.random());
             connections.spawn(self.clone().use_connection(ingress, usage, rng));
         }
         connections
     }
 
-    /// Opens connections to an ingress that was told to end, for as long as the platform does.
+    /// Opens connections to an ingress that has received SIGTERM, for as long as the platform routes new clients to it.
     pub(crate) async fn open_connections_during_shutdown(
         self: Arc<Self>,
         ingress: usize,
@@ -65,23 +65,31 @@
         let (started, mut connections) = (Instant::now(), JoinSet::new());
         while started.elapsed() < NEW_CONNECTIONS_TIME {
             let rng = SmallRng::seed_from_u64(rng.random());
-            connections.spawn(self.clone().use_connection(ingress, Use::Busy, rng));
+            connections.spawn(
+                self.clone()
+                    .use_connection(ingress, ConnectionUse::Active, rng),
+            );
             tokio::time::sleep(NEW_CONNECTION_INTERVAL).await;
         }
         while connections.join_next().await.is_some() {}
     }
 
-    /// Uses one connection until it is closed.
-    async fn use_connection(self: Arc<Self>, ingress: usize, usage: Use, mut rng: SmallRng) {
+    /// Opens a connection and uses it until it is closed.
+    async fn use_connection(
+        self: Arc<Self>,
+        ingress: usize,
+        usage: ConnectionUse,
+        mut rng: SmallRng,
+    ) {
         let Ok(mut stream) = TcpStream::connect(self.addresses[ingress]).await else {
             return;
         };
-        while self.request_on(&mut stream, ingress, &mut rng).await {
+        while self.send_request(&mut stream, ingress, &mut rng).await {
             match usage {
-                Use::Busy => {
+                ConnectionUse::Active => {
                     tokio::time::sleep(MAX_PAUSE.mul_f64(rng.random())).await;
                 }
-                Use::Resting => {
+                ConnectionUse::Idle => {
                     let _ = stream.read(&mut [0]).await;
                     return;
                 }
@@ -89,8 +97,13 @@
         }
     }
 
-    /// Sends one request and reads its response; false where the connection ends with that.
-    async fn request_on(&self, stream: &mut TcpStream, ingress: usize, rng: &mut SmallRng) -> bool {
+    /// Sends a request and reads its response; returns false if the connection cannot be used after that.
+    async fn send_request(
+        &self,
+        stream: &mut TcpStream,
+        ingress: usize,
+        rng: &mut SmallRng,
+    ) -> bool {
         let customer = Customer {
             id: rng.random_range(0..self.behavior.customers.max(1)),
             first_ingress: ingress,
--- a/crates/fault-testbed/src/list_service.rs
+++ b/crates/fault-testbed/src/list_service.rs
@@ -1,7 +1,7 @@
-//! The fake list service of a trial: full lists and watches, a limit on its request rate, and its faults.
+//! The fake list service of a trial: it serves full lists and watches, limits its request rate, and has faults.
 //!
-//! Input: requests of ingresses on proxied streams; changes of the list and of its faults. Output: responses, and
-//! journal entries on each of them. Invariant: an entry's revision is the list's revision at its last change.
+//! Input: requests of ingresses on proxied streams; changes of the list and of the faults. Output: responses and their journal
+//! entries. Invariant: an entry's revision is the list's revision at the entry's last change.
 
 mod list;
 
@@ -21,21 +21,21 @@
 use crate::journal::{Event, Journal};
 
 pub use list::{instance_id, Endpoints, EntryState, Snapshot};
-use list::{ListState, Response, Shown};
+use list::{ListState, Response, ResponseScope};
 
-/// Maximum time that a watch waits for a change; a longer wait in the request is cut.
+/// Maximum time that a watch waits for a change; longer waits in requests are reduced to it.
 const MAX_WATCH_MS: u64 = 60_000;
-/// Size of a burst that is within the request rate: a second's requests divided by this.
+/// Divisor for the burst of the request rate: a second's requests divided by this.
 const BURSTS_PER_SECOND: f64 = 10.0;
 
-/// Limits of the service, and how it rejects requests beyond them.
+/// The request rate of the service, and its rejection of requests beyond the rate.
 #[derive(Clone, Copy, Debug)]
 pub struct ListServiceLimits {
-    /// Requests per second that it answers; 0, as in the trial's file: any number.
+    /// Requests per second that it accepts; 0, as in the trial file: unlimited.
     pub requests_per_second: f64,
-    /// Time until a rejection is sent.
+    /// Delay of a rejection.
     pub rejection_delay: Duration,
-    /// `Retry-After` of a rejection; zero: no such header.
+    /// `Retry-After` of a rejection; zero: no header.
     pub retry_after: Duration,
 }
 
@@ -52,7 +52,7 @@
     budget: Mutex<RequestBudget>,
     journal: Journal,
     seed: u64,
-    /// By how much the clock was stepped by which the list shows when instances started.
+    /// Offset of the wall clock that gives the start times of instances in the list.
     clock_offset_ms: AtomicI64,
 }
 
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Adds an instance that is in service, or replaces its entry.
+    /// Adds an entry for an instance in service, or replaces the instance's entry.
     pub fn add(&self, instance: usize, zone: usize, start: StartTime) {
         let boot_ms = match start {
             StartTime::Now => self.stepped_unix_ms(),
@@ -89,7 +89,7 @@
             .send_modify(|state| state.add(instance, zone, boot_ms));
     }
 
-    /// Steps the clock by which the list shows when instances started.
+    /// Sets the offset of the wall clock that gives the start times of instances in the list.
     pub fn step_clock(&self, offset_ms: i64) {
         self.clock_offset_ms.store(offset_ms, Ordering::Relaxed);
     }
@@ -99,7 +99,7 @@
         unix_ms().saturating_add_signed(offset_ms)
     }
 
-    /// Changes what the list shows of an instance.
+    /// Changes the state of an instance's entry.
     pub fn set_entry_state(&self, instance: usize, entry_state: EntryState) {
         self.state
             .send_modify(|state| state.set_entry_state(instance, entry_state));
@@ -115,12 +115,12 @@
         self.state.send_modify(|state| state.end_fault(fault));
     }
 
-    /// The full list as one ingress would get it now.
+    /// The current full list as one ingress receives it.
     pub fn snapshot(&self, endpoints: &Endpoints) -> Snapshot {
         self.state.borrow().snapshot(endpoints)
     }
 
-    /// Whether one more request is within the request rate.
+    /// Takes a request from the budget; returns false if it exceeds the request rate.
     fn within_rate(&self) -> bool {
         let rate = self.limits.requests_per_second;
         if rate <= 0.0 {
@@ -214,13 +214,13 @@
 }
 
 impl ListServiceLimits {
-    /// Requests that are served though they come at once.
+    /// Number of simultaneous requests that are accepted.
     fn burst(&self) -> f64 {
         (self.requests_per_second / BURSTS_PER_SECOND).max(1.0)
     }
 }
 
-/// Waits for a change, at most for the `wait_ms` of the watch; a request without a revision gets the full list at once.
+/// Waits for a change, at most for the `wait_ms` of the watch. A request without a revision receives the full list immediately.
 async fn await_response(state: &mut watch::Receiver<ListState>, request: &Message) -> Response {
     let after = request.query("after");
     let restores = state.borrow().restores;
@@ -228,13 +228,13 @@
         let changed = state.wait_for(|state| state.revision > after || state.restores != restores);
         let wait = Duration::from_millis(wait_ms.min(MAX_WATCH_MS));
         let _ = tokio::time::timeout(wait, changed).await;
-        // A service that has become silent meanwhile sends no response.
+        // The service may have become silent meanwhile; it sends no response then.
         let _ = state.wait_for(|state| !state.silent()).await;
     }
     let state = state.borrow_and_update().clone();
-    // A revision that the list does not have yet is one from before a restore: only the full list makes up for that.
+    // A revision higher than the list's is from before a restore; changes since then are unknown, so the full list is sent.
     let changes_after =
         after.filter(|after| *after <= state.revision && state.restores == restores);
-    let shown = changes_after.map_or(Shown::FullList, Shown::ChangesAfter);
-    Response { state, shown }
+    let scope = changes_after.map_or(ResponseScope::FullList, ResponseScope::ChangesAfter);
+    Response { state, scope }
 }
--- a/crates/fault-testbed/src/list_service/list.rs
+++ b/crates/fault-testbed/src/list_service/list.rs
@@ -1,4 +1,4 @@
-//! The list of limit servers: its entries and revisions, and what a response shows of it.
+//! The list of limit servers: its entries and revisions, and the responses made from it.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,14 +7,14 @@
 
 use crate::fault::ListServiceFault;
 
-/// What the list shows of a limit server.
+/// State of a limit server's entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryState {
-    /// It may get requests.
+    /// The server may receive requests.
     InService,
-    /// It drains: no new request may go to it.
+    /// The server drains: no new request may go to it.
     Draining,
-    /// It is not on the full list; changes show it as terminated.
+    /// The entry is not on the full list; responses to watches report it as terminated.
     Removed,
 }
 
@@ -35,7 +35,7 @@
     instance: usize,
     id: String,
     zone: usize,
-    /// Start of the instance, Unix time; 0, as the platform writes it: long ago.
+    /// Start time of the instance, Unix time; 0, the platform's notation for a start long ago.
     boot_ms: u64,
     state: EntryState,
     /// Revision of the list at the last change of this entry.
@@ -74,7 +74,7 @@
         self.faults.iter().map(fraction).fold(0.0, f64::max)
     }
 
-    /// Adds an instance in service, or replaces its entry.
+    /// Adds an entry for an instance in service, or replaces the instance's entry.
     pub(super) fn add(&mut self, instance: usize, zone: usize, boot_ms: u64) {
         self.revision += 1;
         self.entries.retain(|entry| entry.instance != instance);
@@ -88,7 +88,7 @@
         });
     }
 
-    /// Changes what the list shows of an instance.
+    /// Changes the state of an instance's entry.
     pub(super) fn set_entry_state(&mut self, instance: usize, state: EntryState) {
         self.revision += 1;
         for entry in &mut self.entries {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Puts a fault in force.
+    /// Begins a fault.
     pub(super) fn begin_fault(&mut self, fault: ListServiceFault) {
         self.faults.retain(|active| *active != fault);
         self.faults.push(fault);
@@ -117,9 +117,9 @@
         self.faults.retain(|active| *active != fault);
     }
 
-    /// The full list as one ingress gets it.
+    /// The full list as one ingress receives it.
     pub(super) fn snapshot(&self, endpoints: &Endpoints) -> Snapshot {
-        let present = self.entries.iter().filter(|entry| entry.present());
+        let present = self.entries.iter().filter(|entry| entry.in_full_list());
         Snapshot {
             revision: self.revision,
             targets: present.map(|entry| entry.target(endpoints)).collect(),
@@ -128,12 +128,12 @@
 }
 
 impl ListEntry {
-    /// Whether it is on the full list.
-    fn present(&self) -> bool {
+    /// Whether the entry is on the full list.
+    fn in_full_list(&self) -> bool {
         self.state != EntryState::Removed
     }
 
-    /// Its JSON form, with the address at which one ingress reaches the instance.
+    /// The JSON form of the entry, with the address at which one ingress reaches the instance.
     fn target(&self, endpoints: &Endpoints) -> Value {
         let endpoint = endpoints.lock().unwrap_or_else(PoisonError::into_inner)[self.instance];
         json!({"uid": self.id, "endpoint": endpoint.to_string(), "az": format!("z{}", self.zone), "model": "m",
@@ -141,10 +141,10 @@
     }
 }
 
-/// Addresses of the limit servers as one ingress reaches them, by instance.
+/// Addresses at which one ingress reaches the limit servers, by instance.
 pub type Endpoints = Arc<Mutex<Vec<SocketAddr>>>;
 
-/// A revision of the list, with its entries in the JSON form of the platform.
+/// One revision of the list, with its entries in the platform's JSON form.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// The revision.
@@ -153,52 +153,52 @@
     pub targets: Vec<Value>,
 }
 
-/// What one response shows: the full list, or what changed after a revision.
+/// A response: the full list, or the changes after a revision.
 pub(super) struct Response {
     pub(super) state: ListState,
-    pub(super) shown: Shown,
+    pub(super) scope: ResponseScope,
 }
 
-/// Which entries a response shows.
+/// The entries that a response contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Shown {
+pub(super) enum ResponseScope {
     /// All that are not removed.
     FullList,
-    /// Those that changed after this revision.
+    /// All that have changed after this revision.
     ChangesAfter(u64),
 }
 
 impl Response {
-    /// Whether it is a full list.
+    /// Whether this is a full list.
     pub(super) fn full(&self) -> bool {
-        self.shown == Shown::FullList
+        self.scope == ResponseScope::FullList
     }
 
-    /// Its body, as one ingress gets it.
+    /// The body as one ingress receives it.
     pub(super) fn body(&self, endpoints: &Endpoints) -> String {
-        // Removed entries are part of the changes, not of the full list.
-        let shown = |entry: &&ListEntry| match self.shown {
-            Shown::FullList => entry.present(),
-            Shown::ChangesAfter(revision) => entry.revision > revision,
+        // Changes include removed entries, the full list does not.
+        let included = |entry: &&ListEntry| match self.scope {
+            ResponseScope::FullList => entry.in_full_list(),
+            ResponseScope::ChangesAfter(revision) => entry.revision > revision,
         };
-        let entries = self.state.entries.iter().filter(shown);
+        let entries = self.state.entries.iter().filter(included);
         let targets: Vec<Value> = entries.map(|entry| entry.target(endpoints)).collect();
         json!({"rev": self.state.revision, "all": self.full(), "targets": targets}).to_string()
     }
 
-    /// Instances that the response shows, or shows by their absence, to drain or to be removed.
+    /// Instances that the response reports as draining or removed; a full list reports removed ones by their absence.
     pub(super) fn removals(&self) -> impl Iterator<Item = usize> + '_ {
-        let shown = |entry: &&ListEntry| match self.shown {
-            Shown::FullList => true,
-            Shown::ChangesAfter(revision) => entry.revision > revision,
+        let included = |entry: &&ListEntry| match self.scope {
+            ResponseScope::FullList => true,
+            ResponseScope::ChangesAfter(revision) => entry.revision > revision,
         };
-        let entries = self.state.entries.iter().filter(shown);
+        let entries = self.state.entries.iter().filter(included);
         let removed = |entry: &&ListEntry| entry.state != EntryState::InService;
         entries.filter(removed).map(|entry| entry.instance)
     }
 }
 
-/// The id of an instance on the list.
+/// The id of an instance in the list.
 pub fn instance_id(instance: usize) -> String {
     format!("s-{instance:04}")
 }
--- a/crates/fault-testbed/src/measure.rs
+++ b/crates/fault-testbed/src/measure.rs
@@ -1,7 +1,6 @@
-//! Measurements with trials: each row of a table is played at several sizes with several seeds.
+//! Measurements by trials: the trial of each row of a table is run at several sizes with several seeds.
 //!
-//! Arguments, table and verdict are those of the harness that all measurement programs share
-//! ([`applewall_fakes::measurement`]).
+//! Arguments, table and verdict use the harness that all measurement programs share ([`applewall_fakes::measurement`]).
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,17 +10,17 @@
 
 use crate::run::{self, RunError, TrialOutcome};
 
-/// Seeds of each row by default.
+/// Default number of seeds of each row.
 const DEFAULT_SEEDS: u64 = 20;
-/// Violations and missed goals that are printed of one trial.
+/// Maximum number of violations and missed goals that are printed for one trial.
 const MAX_PRINTED_LINES: usize = 5;
 
-/// Options of a measurement with trials: `--before PROGRAM`, `--seeds N`, `--sizes N,N`.
+/// Options of a measurement by trials: `--before PROGRAM`, `--seeds N`, `--sizes N,N`.
 #[derive(Clone, Debug)]
 pub struct TrialOptions {
-    /// An earlier program to measure beside this one.
+    /// An earlier executable to measure for comparison.
     pub before: Option<PathBuf>,
-    /// Seeds of each row.
+    /// Number of seeds of each row.
     pub seeds: u64,
     /// Numbers of ingresses.
     pub sizes: Vec<usize>,
@@ -56,28 +55,28 @@
     }
 }
 
-/// The trials of a measurement by their result.
+/// Counts of the trials of a measurement by result.
 #[derive(Clone, Copy, Debug, Default)]
 struct TrialCounts {
-    /// Valid ones.
+    /// Trials with a verdict.
     judged: usize,
-    /// Valid ones that missed a goal.
+    /// Of these, trials that missed a goal.
     missed: usize,
-    /// Those that the machine was too slow for.
+    /// Trials without a verdict because the machine was too slow.
     invalid: usize,
 }
 
-/// A program that a measurement runs, by the name under which the table shows it.
+/// A program that a measurement runs, with its name in the table.
 #[derive(Clone, Copy, Debug)]
 pub struct Variant<'a> {
     /// The name.
     pub name: &'static str,
-    /// The daemon's program.
+    /// The daemon's executable.
     pub program: &'a Path,
 }
 
 impl<'a> Variant<'a> {
-    /// The earlier program, where the command line names one.
+    /// The earlier program, if the command line names one.
     pub fn before(program: Option<&'a Path>) -> Option<Self> {
         program.map(|program| Variant {
             name: "before",
@@ -89,7 +88,7 @@
 /// One trial of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Run<'a> {
-    /// The variant that runs.
+    /// The variant to run.
     pub variant: Variant<'a>,
     /// Index of the row.
     pub row: usize,
@@ -99,33 +98,33 @@
     pub seed: u64,
 }
 
-/// A measurement: a table of rows, each played at several sizes with several seeds.
+/// A measurement: a table of rows whose trials are run at several sizes with several seeds.
 pub trait Measurement {
     /// Columns of the table.
     const COLUMNS: &'static [&'static str];
 
     /// Number of rows at each size.
     fn rows(&self) -> usize;
-    /// Variants of each trial in the order in which they run.
+    /// Variants of each trial, in the order in which they are run.
     fn variants<'a>(&self, program: &'a Path, before: Option<&'a Path>) -> Vec<Variant<'a>>;
-    /// The trial's file.
+    /// The text of the trial file.
     fn trial(&self, run: &Run<'_>) -> String;
-    /// The cells of a trial's row of the table.
+    /// The cells of the table row of a trial.
     fn cells(&self, run: &Run<'_>, outcome: &TrialOutcome) -> Vec<String>;
-    /// The goals that a trial missed, or `None` where its variant is not judged.
+    /// The goals that a trial missed, or `None` if its variant is not judged.
     fn judge(&self, run: &Run<'_>, outcome: &TrialOutcome) -> Option<Judgement>;
 }
 
-/// What a judged trial missed.
+/// The result of a judged trial.
 #[derive(Clone, Debug, Default)]
 pub struct Judgement {
-    /// True where it missed a goal.
+    /// True if it missed a goal or violated a rule.
     pub missed: bool,
-    /// Lines on that.
+    /// Descriptions of the missed goals and violations, one line each.
     pub lines: Vec<String>,
 }
 
-/// The measurement program of this name; `usage` is the form of its command line.
+/// The measurement program of this name; `usage` is the synopsis of its command line.
 pub const fn program(name: &'static str, usage: &'static str) -> Program {
     Program {
         name,
@@ -138,14 +137,14 @@
     }
 }
 
-/// Runs a measurement program, at `sizes` where the command line names none.
+/// Runs a measurement program, with `sizes` as the default of `--sizes`.
 pub fn run(program: &Program, sizes: &[usize], measurement: &impl Measurement) -> ExitCode {
     measurement::run(program, TrialOptions::new(sizes), |options| {
         measure(measurement, &options).map(TrialCounts::verdict)
     })
 }
 
-/// Plays all trials of a measurement; fails with the first that cannot be run.
+/// Runs all trials of a measurement; fails with the error of the first one that cannot be run.
 fn measure<M: Measurement>(
     measurement: &M,
     options: &TrialOptions,
@@ -189,12 +188,12 @@
         }
     }
 
-    /// Met only where a trial was judged and every judged trial met its goals.
+    /// Met only if at least one trial was judged and every judged trial met its goals.
     fn verdict(self) -> Verdict {
         Verdict {
             met: self.missed == 0 && self.judged > 0,
             figures: format!(
-                "{} trials judged, {} missed, {} that the machine could not play",
+                "{} trials judged, {} missed, {} without a verdict (machine too slow)",
                 self.judged, self.missed, self.invalid
             ),
         }
--- a/crates/fault-testbed/src/network.rs
+++ b/crates/fault-testbed/src/network.rs
@@ -1,7 +1,6 @@
-//! The simulated network's state: which links are in which condition now.
+//! State of the simulated network: the current condition of each link.
 //!
-//! Owned by the environment of a trial; faults add and remove rules, the proxies read the condition of their link.
-//! Does no I/O.
+//! Owned by the environment of a trial; faults add and remove rules, proxies read the condition of their links. Does no I/O.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,25 +10,25 @@
 
 use crate::topology::Component;
 
-/// What a link does to the traffic that crosses it.
+/// Effects of a link on its traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkCondition {
-    /// Probability that a datagram is lost; a chunk of a stream is late by [`RETRANSMIT_DELAY`] instead, as if it was
-    /// retransmitted.
+    /// Probability that a datagram is lost; a chunk of a stream is delayed by [`RETRANSMIT_DELAY`] instead, as by a
+    /// retransmission.
     pub loss: f64,
     /// Fixed delay.
     pub delay: Duration,
-    /// Upper bound of a random delay on top of it; datagrams may overtake each other.
+    /// Upper bound of an additional random delay; it may reorder datagrams.
     pub jitter: Duration,
     /// Probability that a datagram is delivered twice.
     pub duplication: f64,
-    /// Probability that a datagram is cut in the middle.
+    /// Probability that a datagram is truncated to half its length.
     pub truncation: f64,
-    /// Nothing passes; open connections stay open, new ones get no response.
+    /// Nothing is delivered; open connections stay open, new ones are accepted and receive no response.
     pub silent: bool,
-    /// Connections are reset, new ones at once.
+    /// Open connections are reset, new ones immediately after they are accepted.
     pub reset: bool,
-    /// Bytes per second of a stream.
+    /// Bandwidth limit of a stream.
     pub bytes_per_second: Option<u64>,
 }
 
@@ -37,7 +36,8 @@
 pub const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 
 impl LinkCondition {
-    /// The condition of a link under two rules: delays add up, of the rest the worse holds.
+    /// The condition of a link to which two rules apply: delays add up, losses are independent, and of the other effects the
+    /// stronger one applies.
     fn combine(self, other: LinkCondition) -> LinkCondition {
         LinkCondition {
             loss: 1.0 - (1.0 - self.loss) * (1.0 - other.loss),
@@ -56,7 +56,7 @@
     }
 }
 
-/// A condition on all links from one set of components to another.
+/// Sets the condition of all links from one set of components to another.
 #[derive(Clone, Debug)]
 pub struct LinkRule {
     /// Name of the fault that set it.
@@ -65,7 +65,7 @@
     pub from: BTreeSet<Component>,
     /// Receivers.
     pub to: BTreeSet<Component>,
-    /// True where it applies to the opposite direction too.
+    /// True if it applies to the opposite direction too.
     pub both: bool,
     /// The condition of these links.
     pub condition: LinkCondition,
@@ -80,7 +80,7 @@
     }
 }
 
-/// All rules in force; clones share them.
+/// All active rules; clones share them.
 #[derive(Clone)]
 pub struct Network {
     rules: watch::Sender<Arc<Vec<LinkRule>>>,
@@ -101,7 +101,7 @@
             .send_modify(|rules| Arc::make_mut(rules).push(rule));
     }
 
-    /// Removes the rules of a fault.
+    /// Removes the rules that a fault has set.
     pub fn remove_rules(&self, name: &str) {
         self.rules
             .send_modify(|rules| Arc::make_mut(rules).retain(|rule| rule.name != name));
@@ -117,7 +117,7 @@
     }
 }
 
-/// One direction of a link, with its condition now and as it changes.
+/// One direction of a link; gives its current condition and waits for changes.
 #[derive(Clone)]
 pub struct Link {
     rules: watch::Receiver<Arc<Vec<LinkRule>>>,
@@ -126,7 +126,7 @@
 }
 
 impl Link {
-    /// Its condition now.
+    /// The current condition.
     pub fn condition(&self) -> LinkCondition {
         let rules = self.rules.borrow().clone();
         rules
@@ -137,7 +137,7 @@
             })
     }
 
-    /// Waits until its condition satisfies a predicate; for ever once the trial is over.
+    /// Waits until the condition satisfies a predicate; never returns if the trial has ended before.
     pub async fn wait_until(&mut self, predicate: impl Fn(&LinkCondition) -> bool) {
         while !predicate(&self.condition()) {
             if self.rules.changed().await.is_err() {
--- a/crates/fault-testbed/src/network/tests.rs
+++ b/crates/fault-testbed/src/network/tests.rs
@@ -17,12 +17,12 @@
 #[test]
 fn rules_apply_to_their_direction_only_and_combine_until_they_are_removed() {
     let network = Network::default();
-    let (there, back) = (
+    let (forward, backward) = (
         network.link(Component::Ingress(1), Component::ListService),
         network.link(Component::ListService, Component::Ingress(1)),
     );
     network.add_rule(rule(
-        "late",
+        "delay",
         false,
         LinkCondition {
             delay: RETRANSMIT_DELAY,
@@ -31,11 +31,11 @@
         },
     ));
     assert_eq!(
-        (there.condition().delay, back.condition().delay),
+        (forward.condition().delay, backward.condition().delay),
         (RETRANSMIT_DELAY, Duration::ZERO)
     );
     network.add_rule(rule(
-        "cut",
+        "silence",
         true,
         LinkCondition {
             silent: true,
@@ -43,12 +43,16 @@
             ..LinkCondition::default()
         },
     ));
-    assert!(there.condition().silent && back.condition().silent && there.condition().loss == 0.75);
-    network.remove_rules("late");
+    assert!(
+        forward.condition().silent
+            && backward.condition().silent
+            && forward.condition().loss == 0.75
+    );
+    network.remove_rules("delay");
     assert_eq!(
-        (there.condition().delay, there.condition().silent),
+        (forward.condition().delay, forward.condition().silent),
         (Duration::ZERO, true)
     );
-    network.remove_rules("cut");
-    assert_eq!(back.condition(), LinkCondition::default());
+    network.remove_rules("silence");
+    assert_eq!(backward.condition(), LinkCondition::default());
 }
--- a/crates/fault-testbed/src/report.rs
+++ b/crates/fault-testbed/src/report.rs
@@ -1,5 +1,5 @@
-//! The page of a trial: lifetime of each ingress, requests at the list service, responses to clients, load of the limit
-//! servers; faults are shaded.
+//! Draws the report of a trial: lifetimes of the ingresses, requests at the list service, responses to clients, and load of the
+//! limit servers. The times of faults are shaded.
 //!
 //! Input: the outcome of a trial. Output: SVG text.
 
@@ -12,14 +12,14 @@
 use crate::journal::{Entry, Event};
 use crate::run::TrialOutcome;
 
-/// Size of the page in pixels.
+/// Size of the report in pixels.
 const SIZE: (u32, u32) = (1100, 1000);
-/// Seconds of a column of the counts.
-const COLUMN_SECONDS: f64 = 0.1;
-/// Highest value of an axis over the highest value drawn.
+/// Interval over which events are counted, in seconds.
+const BIN_SECONDS: f64 = 0.1;
+/// Upper end of a vertical axis, as a multiple of the highest value drawn.
 const HEADROOM: f64 = 1.05;
 
-/// The drawing library failed.
+/// An error of the drawing library.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct DrawError(String);
@@ -30,7 +30,7 @@
     }
 }
 
-/// The page as SVG.
+/// The report as SVG.
 ///
 /// # Errors
 ///
@@ -45,25 +45,25 @@
     let root = SVGBackend::with_string(text, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let areas = root.titled(title, ("sans-serif", 18))?.split_evenly((4, 1));
-    let page = Page::new(&outcome.entries);
-    page.draw_ingresses(&areas[0], outcome)?;
-    page.draw_counts(
+    let report = Report::new(&outcome.entries);
+    report.draw_ingresses(&areas[0], outcome)?;
+    report.draw_counts(
         &areas[1],
-        "calls at the list service in 100 ms",
+        "list service: requests and rejections per 100 ms",
         &[
-            (BLUE, page.counts(is_list_request)),
-            (RED, page.counts(is_list_rejection)),
+            (BLUE, report.counts(is_list_request)),
+            (RED, report.counts(is_list_rejection)),
         ],
     )?;
-    page.draw_counts(
+    report.draw_counts(
         &areas[2],
-        "answers to clients in 100 ms: served, refused",
+        "responses to clients per 100 ms: served, rejected",
         &[
-            (GREEN, page.counts(is_served)),
-            (RED, page.counts(is_refused)),
+            (GREEN, report.counts(is_served)),
+            (RED, report.counts(is_rejected)),
         ],
     )?;
-    page.draw_load(&areas[3], outcome)?;
+    report.draw_load(&areas[3], outcome)?;
     root.present()?;
     Ok(())
 }
@@ -80,40 +80,40 @@
     event.response_status() == Some(200)
 }
 
-fn is_refused(event: &Event) -> bool {
+fn is_rejected(event: &Event) -> bool {
     matches!(event.response_status(), Some(429 | 503))
 }
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Chart<'a, 'b> = ChartContext<'b, SVGBackend<'a>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// What all charts of a page have in common.
-struct Page<'e> {
+/// Data that all charts of the report share.
+struct Report<'e> {
     entries: &'e [Entry],
     /// End of the time axis in seconds.
     end: f64,
-    /// When each fault began and ended.
+    /// Beginning and end of each fault, in seconds.
     faults: Vec<(f64, f64)>,
 }
 
-impl<'e> Page<'e> {
+impl<'e> Report<'e> {
     fn new(entries: &'e [Entry]) -> Self {
         let end = entries.last().map_or(1.0, |entry| entry.at_seconds);
         let end = end.max(1.0);
-        Page {
+        Report {
             entries,
             end,
             faults: fault_spans(entries, end),
         }
     }
 
-    /// Number of events of a kind in each column.
+    /// Number of events of a kind in each interval of [`BIN_SECONDS`].
     fn counts(&self, counted: fn(&Event) -> bool) -> Vec<f64> {
-        let mut columns = vec![0.0; (self.end / COLUMN_SECONDS) as usize + 1];
+        let mut bins = vec![0.0; (self.end / BIN_SECONDS) as usize + 1];
         for entry in self.entries.iter().filter(|entry| counted(&entry.event)) {
-            columns[(entry.at_seconds / COLUMN_SECONDS) as usize] += 1.0;
+            bins[(entry.at_seconds / BIN_SECONDS) as usize] += 1.0;
         }
-        columns
+        bins
     }
 
     fn chart<'a, 'b>(
@@ -140,7 +140,7 @@
         Ok(chart)
     }
 
-    /// A line for each series of counts.
+    /// Draws a line for each series of counts.
     fn draw_counts(
         &self,
         area: &Area<'_>,
@@ -151,17 +151,21 @@
         let highest = counts.copied().fold(1.0, f64::max) * HEADROOM;
         let mut chart = self.chart(area, caption, highest)?;
         for (color, counts) in series {
-            let point = |(column, count): (usize, &f64)| (column as f64 * COLUMN_SECONDS, *count);
+            let point = |(bin, count): (usize, &f64)| (bin as f64 * BIN_SECONDS, *count);
             let points = counts.iter().enumerate().map(point);
             chart.draw_series(LineSeries::new(points, color))?;
         }
         Ok(())
     }
 
-    /// A line for each ingress: grey while it runs, blue from its first list on, a red mark where it was killed.
+    /// Draws a line for each ingress: grey while it runs, blue from its first list on, with a red mark where its process ended.
     fn draw_ingresses(&self, area: &Area<'_>, outcome: &TrialOutcome) -> Result<(), DrawError> {
         let count = outcome.topology.ingresses as f64;
-        let mut chart = self.chart(area, "ingresses: running, listed, killed", count)?;
+        let mut chart = self.chart(
+            area,
+            "ingresses: running (grey), with a list (blue), process ended (red)",
+            count,
+        )?;
         let (lifetimes, kills) = lifetimes(self.entries, self.end);
         for lifetime in lifetimes {
             let height = lifetime.ingress as f64 + 0.5;
@@ -179,7 +183,7 @@
         Ok(())
     }
 
-    /// A line for each limit server: requests that arrived, as a fraction of its capacity after the warm-up.
+    /// Draws a line for each limit server: attempts per second, as a fraction of the capacity after the warm-up.
     fn draw_load(&self, area: &Area<'_>, outcome: &TrialOutcome) -> Result<(), DrawError> {
         let mut loads: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
         let capacity = outcome.settings.model.max_requests_per_second();
@@ -192,7 +196,8 @@
             }
         }
         let highest = loads.values().flatten().copied().fold(0.2, f64::max) * HEADROOM;
-        let caption = "each limit server: requests a second, over what it can do warm";
+        let caption =
+            "limit servers: attempts per second, as a fraction of the capacity after the warm-up";
         let mut chart = self.chart(area, caption, highest)?;
         for (index, seconds) in loads.values().enumerate() {
             let point = |(second, load): (usize, &f64)| (second as f64 + 0.5, *load);
@@ -204,7 +209,7 @@
     }
 }
 
-/// When each fault began and ended; one without an end is a column wide.
+/// Beginning and end of each fault, in seconds; a fault without an end is drawn one interval wide.
 fn fault_spans(entries: &[Entry], end: f64) -> Vec<(f64, f64)> {
     let mut active: BTreeMap<&str, f64> = BTreeMap::new();
     let mut spans = Vec::new();
@@ -218,12 +223,12 @@
             _ => {}
         }
     }
-    let column = |from: &f64| (*from, (from + COLUMN_SECONDS).min(end));
-    spans.extend(active.values().map(column));
+    let span = |from: &f64| (*from, (from + BIN_SECONDS).min(end));
+    spans.extend(active.values().map(span));
     spans
 }
 
-/// One process of an ingress; times in seconds.
+/// Lifetime of one process of an ingress; times in seconds.
 struct Lifetime {
     ingress: usize,
     start: f64,
@@ -231,7 +236,7 @@
     end: f64,
 }
 
-/// The processes of all ingresses, and the marks where they ended.
+/// Lifetimes of all processes, and the positions of the marks where processes ended.
 fn lifetimes(entries: &[Entry], end: f64) -> (Vec<Lifetime>, Vec<(f64, f64)>) {
     let mut running: BTreeMap<usize, Lifetime> = BTreeMap::new();
     let (mut ended, mut kills) = (Vec::new(), Vec::new());
--- a/crates/fault-testbed/src/soak.rs
+++ b/crates/fault-testbed/src/soak.rs
@@ -1,8 +1,9 @@
-//! Random schedules of faults that overlap, drawn from a seed, and the faults of a failed one that matter.
+//! Random schedules of overlapping faults, generated from a seed, and the reduction of a failing schedule to the faults that it
+//! needs to fail.
 //!
-//! Input: a seed. Output: the text of a trial's file, which `play` repeats. Invariant: the same seed draws the same
-//! schedule. Links between ingresses and limit servers are reset and never delayed: an attempt that a proxy holds back
-//! would arrive after its client's end through no fault of the program.
+//! Input: a seed. Output: the text of a trial file, which `play` can repeat. Invariant: the same seed generates the same
+//! schedule. Links between ingresses and limit servers are reset and never delayed: an attempt that a proxy delays could arrive
+//! after its client has left, for which the daemon is not responsible.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -11,22 +12,23 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
 
-/// Moments round which faults are drawn, in milliseconds, and how many at each: those of one moment overlap.
+/// Start times of the clusters of faults, in milliseconds. The faults of a cluster overlap.
 const CLUSTERS_MS: [u64; 2] = [1_500, 6_000];
+/// Number of faults in a cluster.
 const FAULTS_PER_CLUSTER: usize = 3;
-/// Faults of a cluster begin within this time.
+/// Time within which the faults of a cluster begin.
 const CLUSTER_WIDTH_MS: u64 = 1_500;
-/// Range of the duration of a fault that ends, in milliseconds.
+/// Range of the duration of a fault, in milliseconds.
 const DURATION_MS: std::ops::Range<u64> = 300..3_000;
 
-/// Range of the time at which a shutdown begins, and the first of several reloads, in milliseconds.
+/// Range of the start times of the shutdown and of the first reload, in milliseconds.
 const SHUTDOWN_MS: std::ops::Range<u64> = 1_500..6_500;
-/// Reloads in quick succession.
+/// Number of reloads in quick succession.
 const RELOADS: usize = 3;
-/// They come within this time.
+/// Time within which these reloads happen.
 const RELOADS_WIDTH_MS: u64 = 150;
 
-/// Kinds of faults that are drawn, by the name under which the coverage is counted.
+/// Kinds of the faults in a cluster, by the names under which their coverage is counted.
 const KINDS: [&str; 17] = [
     "term",
     "kill",
@@ -47,19 +49,19 @@
     "spoil",
 ];
 
-/// The faults of a schedule: name and line of each, in the form of a trial's file.
+/// The faults of a schedule: name and line of each, as in a trial file.
 pub type Schedule = BTreeMap<String, String>;
 
-/// Sizes that the schedule is drawn for.
+/// Sizes of the trials.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakSizes {
-    /// Real processes.
+    /// Number of ingresses (real processes).
     pub ingresses: usize,
-    /// Fake limit servers.
+    /// Number of limit servers (fakes).
     pub instances: usize,
 }
 
-/// Draws the faults of a seed.
+/// Generates the schedule of a seed.
 pub fn draw(seed: u64, sizes: SoakSizes) -> Schedule {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut schedule = Schedule::new();
@@ -79,7 +81,7 @@
     schedule
 }
 
-/// Adds the shutdown of some ingresses, as the platform ends processes: no schedule is without one.
+/// Adds a shutdown of two ingresses, as the platform performs it, to every schedule.
 fn add_shutdown(schedule: &mut Schedule, sizes: SoakSizes, rng: &mut SmallRng) {
     let at_ms = rng.random_range(SHUTDOWN_MS);
     let first = rng.random_range(0..sizes.ingresses);
@@ -103,7 +105,7 @@
     }
 }
 
-/// One fault of a kind, with its end.
+/// A random fault of a kind, with its duration.
 fn effect(kind: &str, sizes: SoakSizes, duration_ms: u64, rng: &mut SmallRng) -> String {
     let ingress = format!("ingress:{}", rng.random_range(0..sizes.ingresses));
     let instance = format!("instance:{}", rng.random_range(0..sizes.instances));
@@ -130,7 +132,8 @@
             let effect = effects.choose(rng).copied().unwrap_or("silent");
             format!("list {effect} for {duration_ms}ms")
         }
-        // Never silent: the journal records a list response when the list service sends it, not when it arrives.
+        // Never silent: the journal records a list response when the list service sends it, not when it arrives, so removals
+        // would count as notified too early.
         "list-link" => format!("link list -> {some} delay 200ms for {duration_ms}ms"),
         "gossip" => {
             format!("link {ingress} <-> ingress:all loss 0.5 twice 0.2 for {duration_ms}ms")
@@ -156,7 +159,7 @@
     text
 }
 
-/// Leaves out one fault after the other, for good where the others still make the trial fail.
+/// Leaves out each fault in turn, permanently if the trial still fails without it.
 pub fn shrink(schedule: &Schedule, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
     let mut smallest = schedule.clone();
     for name in schedule.keys() {
@@ -169,7 +172,7 @@
     smallest
 }
 
-/// The kind of a fault by its name.
+/// The kind of a fault, from its name.
 pub fn kind_of(name: &str) -> &str {
     name.split_once('-').map_or(name, |(_, kind)| kind)
 }
--- a/crates/fault-testbed/src/soak/tests.rs
+++ b/crates/fault-testbed/src/soak/tests.rs
@@ -7,23 +7,27 @@
 };
 
 #[test]
-fn each_seed_draws_the_same_readable_schedule_and_all_kinds_come() {
+fn each_seed_generates_the_same_valid_schedule_and_all_kinds_occur() {
     let mut kinds = std::collections::BTreeSet::new();
     for seed in 0..100 {
         let schedule = draw(seed, SIZES);
         assert_eq!(schedule, draw(seed, SIZES));
-        let trial = Trial::read(&trial_text(seed, SIZES, &schedule)).expect("readable");
+        let trial = Trial::read(&trial_text(seed, SIZES, &schedule)).expect("a valid trial");
         let drawn = CLUSTERS_MS.len() * FAULTS_PER_CLUSTER;
         assert_eq!(trial.faults.len(), drawn + 1 + RELOADS);
         let shutdowns = schedule.keys().filter(|name| kind_of(name) == "shutdown");
-        assert_eq!(shutdowns.count(), 1, "each schedule ends processes");
+        assert_eq!(shutdowns.count(), 1, "each schedule has one shutdown");
         kinds.extend(schedule.keys().map(|name| kind_of(name).to_string()));
     }
-    assert_eq!(kinds.len(), KINDS.len() + 1, "with the shutdowns");
+    assert_eq!(
+        kinds.len(),
+        KINDS.len() + 1,
+        "all kinds of the clusters, and shutdown"
+    );
 }
 
 #[test]
-fn shrinking_leaves_the_faults_that_fail_together() {
+fn shrinking_keeps_only_the_faults_that_are_needed_to_fail() {
     let schedule = draw(7, SIZES);
     let needed: Vec<_> = schedule.keys().take(2).cloned().collect();
     let fails = |remaining: &Schedule| needed.iter().all(|name| remaining.contains_key(name));
--- a/crates/fault-testbed/src/tcp_proxy.rs
+++ b/crates/fault-testbed/src/tcp_proxy.rs
@@ -1,7 +1,7 @@
-//! TCP proxy: streams from an ingress to a fake server, through the link between them.
+//! TCP proxy: forwards streams from an ingress to a fake server and applies the condition of the link between them.
 //!
-//! Each pair of an ingress and a server has a listener of its own, so both ends of every stream are known. Bytes of a
-//! stream are delayed and never lost or reordered; a reset of the link aborts the stream.
+//! Each pair of an ingress and a server has its own listener, so both ends of every stream are known. Bytes of a stream are
+//! delayed, but never lost or reordered; a reset of the link aborts the stream.
 
 use std::future::Future;
 use std::io;
@@ -16,11 +16,12 @@
 
 use crate::network::{Link, RETRANSMIT_DELAY};
 
-/// Bytes forwarded at once, and buffered in each direction: larger than most responses, so that delays count once.
+/// Bytes forwarded at once and buffered in each direction: more than most responses have, so that each of them is delayed only
+/// once.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Connections waiting to be accepted: more than all ingresses open at once.
+/// Backlog of the listeners: more connections than all ingresses open at once.
 const LISTEN_BACKLOG: u32 = 1024;
-/// Highest probability that a chunk is lost once more, so that every chunk arrives.
+/// Upper bound of the probability that a chunk is lost again, so that every chunk arrives eventually.
 const MAX_REPEATED_LOSS: f64 = 0.9;
 
 /// Both directions of the link that a stream crosses.
@@ -32,7 +33,7 @@
     pub to_ingress: Link,
 }
 
-/// A listener on a free port of this loopback address.
+/// Opens a listener on an ephemeral port of this loopback address.
 ///
 /// # Errors
 ///
@@ -43,7 +44,7 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// A stream of an ingress to a server inside the testbed: the server's end, and the task that forwards.
+/// Connects a stream of an ingress to a server inside the testbed; returns the server's end and the future that forwards.
 pub fn forward(
     stream: TcpStream,
     links: LinkPair,
@@ -53,7 +54,7 @@
     (server_end, run(stream, proxy_end, links, seed))
 }
 
-/// Forwards in both directions until one ends, or the link is reset.
+/// Forwards in both directions until one of them ends or the link is reset.
 async fn run(
     stream: TcpStream,
     server: impl AsyncRead + AsyncWrite + Send + 'static,
@@ -85,26 +86,26 @@
     }
 }
 
-/// Ends a connection with a TCP reset.
+/// Closes a connection with a TCP reset.
 pub fn abort(stream: TcpStream) {
     let Ok(stream) = stream.into_std() else {
         return;
     };
-    // Lingering for zero seconds discards unsent bytes, and close sends a reset.
+    // With a linger time of zero, close discards unsent bytes and sends a reset.
     let linger = libc::linger {
         l_onoff: 1,
         l_linger: 0,
     };
     let size = std::mem::size_of::<libc::linger>() as libc::socklen_t;
     let descriptor = std::os::fd::AsRawFd::as_raw_fd(&stream);
-    // SAFETY: the descriptor is open as long as `stream` exists, and the option has the stated size.
+    // SAFETY: the descriptor stays open while `stream` exists, and `size` is the size of the option.
     unsafe {
         let option = std::ptr::from_ref(&linger).cast();
         libc::setsockopt(descriptor, libc::SOL_SOCKET, libc::SO_LINGER, option, size);
     }
 }
 
-/// Copies bytes as the link allows: late, slowly, or not until it stops being silent. Their order stays.
+/// Copies bytes in order under the condition of the link: delayed, at its bandwidth limit, or only once it is no longer silent.
 async fn copy(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
@@ -116,7 +117,7 @@
     loop {
         let length = from.read(&mut chunk).await?;
         let arrived = Instant::now();
-        // What arrives on a silent link waits here: TCP retransmits it once the network works again.
+        // Bytes that arrive while the link is silent are held back here, as TCP would retransmit them after the outage.
         link.wait_until(|condition| !condition.silent).await;
         let condition = link.condition();
         let mut delay = condition.delay + condition.jitter.mul_f64(rng.random());
--- a/crates/fault-testbed/src/tcp_proxy/tests.rs
+++ b/crates/fault-testbed/src/tcp_proxy/tests.rs
@@ -8,7 +8,7 @@
         [Component::ListService].into(),
     );
     LinkRule {
-        name: "f".into(),
+        name: "fault".into(),
         from,
         to,
         both: true,
@@ -48,7 +48,7 @@
         _ = server.read_exact(&mut byte) => panic!("passed over a silent link"),
         () = tokio::task::yield_now() => {}
     }
-    network.remove_rules("f");
+    network.remove_rules("fault");
     server.read_exact(&mut byte).await.expect("passes later");
     assert_eq!(&byte, b"b");
     network.add_rule(rule(LinkCondition {
--- a/crates/fault-testbed/src/topology/tests.rs
+++ b/crates/fault-testbed/src/topology/tests.rs
@@ -2,7 +2,7 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
-const LAYOUT: Topology = Topology {
+const TOPOLOGY: Topology = Topology {
     ingresses: 10,
     instances: 6,
     zones: 3,
@@ -13,7 +13,7 @@
     let draw = |text: &str, seed| {
         text.parse::<ComponentSet>()
             .expect("a set")
-            .resolve(LAYOUT, &mut SmallRng::seed_from_u64(seed))
+            .resolve(TOPOLOGY, &mut SmallRng::seed_from_u64(seed))
     };
     assert_eq!(
         draw("instance:zone=1", 1),
--- a/crates/fault-testbed/src/udp_proxy.rs
+++ b/crates/fault-testbed/src/udp_proxy.rs
@@ -1,8 +1,8 @@
-//! UDP proxy: datagrams between ingresses, through the links between them.
+//! UDP proxy: forwards datagrams between ingresses and applies the condition of the links between them.
 //!
-//! Each ingress has one proxy socket, whose address its peers know. What ingress `i` sends to `j` arrives at the proxy
-//! socket of `j` and leaves from that of `i`, so that the receiver sees a sender that it knows. An ingress accepts only
-//! so many datagrams a second; the excess is dropped here, as the platform does.
+//! Each ingress has one proxy socket, whose address its peers know. A datagram from ingress `i` to `j` arrives at the proxy
+//! socket of `j` and is sent from that of `i`, so that the receiver sees the address of a known peer. The platform limits the
+//! datagrams per second that an ingress receives; the proxy drops the excess in its place.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -20,14 +20,14 @@
 use crate::network::{Link, LinkCondition, Network};
 use crate::topology::Component;
 
-/// The platform's limit on a datagram; longer ones are dropped.
+/// The platform's limit on the length of a datagram; longer ones are dropped.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// Larger than any datagram that an ingress sends, so that none is cut by reading it.
+/// Larger than any datagram that an ingress sends, so that reading truncates none.
 const RECEIVE_BUFFER_BYTES: usize = 2048;
-/// Interval of the journal's entries on received datagrams.
+/// Interval of the journal entries on received datagrams.
 const RECORD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Datagrams of one ingress since they were last recorded.
+/// Datagrams to one ingress since the last journal entry.
 #[derive(Default)]
 struct Counts {
     accepted: AtomicU64,
@@ -40,7 +40,7 @@
 }
 
 impl UdpProxy {
-    /// Binds a socket on a free port of each of these addresses.
+    /// Binds a socket on an ephemeral port of each of these addresses.
     ///
     /// # Errors
     ///
@@ -65,7 +65,7 @@
             .collect()
     }
 
-    /// Spawns the tasks that forward datagrams between ingresses at these addresses.
+    /// Spawns the tasks that forward datagrams between the ingresses at these addresses.
     pub fn forward(
         self,
         ingress_addresses: Vec<SocketAddr>,
@@ -108,10 +108,10 @@
     counts: Arc<Counts>,
     rng: SmallRng,
     max_per_second: f64,
-    /// Datagrams that the receiver accepts at once now.
+    /// Datagrams that the receiver may still receive now: the tokens of its rate limit.
     allowance: f64,
     refilled: Instant,
-    /// Datagrams that wait for the delay of their link.
+    /// Datagrams in transit on a link with a delay.
     delayed: JoinSet<()>,
 }
 
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Delivers one datagram, now or later, unless the link loses it or the receiver does not accept it.
+    /// Delivers a datagram immediately or after the link's delay, unless the link loses it or it exceeds the receiver's limits.
     fn deliver(&mut self, datagram: &[u8], sender: usize, condition: &LinkCondition) {
         if datagram.len() > MAX_DATAGRAM_BYTES
             || condition.silent
@@ -163,7 +163,7 @@
         });
     }
 
-    /// Whether one more datagram is within what the receiver accepts.
+    /// Takes a datagram from the receiver's rate limit and counts it; returns false if it exceeds the limit.
     fn accept(&mut self) -> bool {
         let refill = self.refilled.elapsed().as_secs_f64() * self.max_per_second;
         self.allowance = (self.allowance + refill).min(self.max_per_second);
@@ -178,7 +178,7 @@
     }
 }
 
-/// Records the counts of an ingress once a second, where there are any.
+/// Records the counts of an ingress once a second unless both are zero.
 async fn record(ingress: usize, counts: Arc<Counts>, journal: Journal) {
     loop {
         tokio::time::sleep(RECORD_INTERVAL).await;
--- a/crates/fault-testbed/src/udp_proxy/tests.rs
+++ b/crates/fault-testbed/src/udp_proxy/tests.rs
@@ -8,16 +8,16 @@
     let udp_proxy = UdpProxy::bind((0..2).map(|_| local()))
         .await
         .expect("sockets");
-    let known = udp_proxy.addresses().expect("addresses");
+    let proxied = udp_proxy.addresses().expect("addresses");
     let first = UdpSocket::bind((local(), 0)).await.expect("a");
     let second = UdpSocket::bind((local(), 0)).await.expect("b");
-    let real = vec![
+    let direct = vec![
         first.local_addr().expect("a"),
         second.local_addr().expect("b"),
     ];
     let mut tasks = JoinSet::new();
-    udp_proxy.forward(real, &network, 40.0, 1, &Journal::begin(), &mut tasks);
-    let cut = LinkCondition {
+    udp_proxy.forward(direct, &network, 40.0, 1, &Journal::begin(), &mut tasks);
+    let silent = LinkCondition {
         silent: true,
         ..LinkCondition::default()
     };
@@ -26,20 +26,20 @@
         [Component::Ingress(0)].into(),
     );
     network.add_rule(LinkRule {
-        name: "cut".into(),
+        name: "silence".into(),
         from,
         to,
         both: false,
-        condition: cut,
+        condition: silent,
     });
     let mut buffer = [0; 16];
-    second.send_to(b"lost", known[0]).await.expect("sent");
-    first.send_to(b"hears", known[1]).await.expect("sent");
-    let (length, sender) = second.recv_from(&mut buffer).await.expect("comes");
-    assert_eq!((&buffer[..length], sender), (&b"hears"[..], known[0]));
-    network.remove_rules("cut");
-    // In order on one socket: had the first been passed on, it would come before this one.
-    second.send_to(b"again", known[0]).await.expect("sent");
-    let (length, sender) = first.recv_from(&mut buffer).await.expect("comes");
-    assert_eq!((&buffer[..length], sender), (&b"again"[..], known[1]));
+    second.send_to(b"lost", proxied[0]).await.expect("sent");
+    first.send_to(b"first", proxied[1]).await.expect("sent");
+    let (length, sender) = second.recv_from(&mut buffer).await.expect("received");
+    assert_eq!((&buffer[..length], sender), (&b"first"[..], proxied[0]));
+    network.remove_rules("silence");
+    // The datagrams of one socket are delivered in order: if the lost one had been forwarded, it would arrive first.
+    second.send_to(b"second", proxied[0]).await.expect("sent");
+    let (length, sender) = first.recv_from(&mut buffer).await.expect("received");
+    assert_eq!((&buffer[..length], sender), (&b"second"[..], proxied[1]));
 }
