--- a/crates/fakes/src/bin/measure-registry.rs
+++ b/crates/fakes/src/bin/measure-registry.rs
@@ -114,7 +114,7 @@
         for number in 0..INSTANCES {
             let script = Script {
                 seed: number as u64,
-                work: Duration::from_millis(2)..=Duration::from_millis(6),
+                processing_time: Duration::from_millis(2)..=Duration::from_millis(6),
                 ..Script::default()
             };
             let instance = Instance::start(script).await?;
--- a/crates/fakes/src/clients/healthy.rs
+++ b/crates/fakes/src/clients/healthy.rs
@@ -27,7 +27,7 @@
     pub latency: Histogram<u64>,
     /// Requests that were to be sent.
     pub sent: u64,
-    /// Served within the wanted time.
+    /// Served within the latency objective.
     pub in_time: u64,
     /// Served at all.
     pub served: u64,
@@ -58,19 +58,19 @@
 }
 
 impl Outcomes {
-    /// Fraction served within the wanted time.
+    /// Fraction served within the latency objective.
     pub fn in_time_fraction(&self) -> f64 {
         self.in_time as f64 / self.sent.max(1) as f64
     }
 
-    fn add(&mut self, result: io::Result<Response>, wanted: Duration) {
+    fn add(&mut self, result: io::Result<Response>, latency_objective: Duration) {
         self.sent += 1;
         match result {
             Ok(response) if response.status == "200" => {
                 let Response { matches, took, .. } = response;
                 self.mismatched += u64::from(!matches);
                 self.served += 1;
-                self.in_time += u64::from(matches && took <= wanted);
+                self.in_time += u64::from(matches && took <= latency_objective);
                 self.latency.saturating_record(took.as_micros() as u64);
             }
             Ok(response) if response.status == "429" || response.status == "503" => {
@@ -98,7 +98,7 @@
     /// Number of customers; each request is of a random one.
     pub customers: u64,
     /// Time within which a response counts as in time.
-    pub wanted: Duration,
+    pub latency_objective: Duration,
     /// Time after which a client gives up on a response.
     pub timeout: Duration,
     /// Seed of all random numbers.
@@ -153,7 +153,10 @@
                 let response =
                     tokio::time::timeout_at(deadline, clients.send(&request, &idle)).await;
                 let response = response.unwrap_or(Err(io::ErrorKind::TimedOut.into()));
-                outcomes.lock().await.add(response, clients.wanted);
+                outcomes
+                    .lock()
+                    .await
+                    .add(response, clients.latency_objective);
             });
         }
         while tasks.join_next().await.is_some() {}
--- a/crates/fakes/src/daemon.rs
+++ b/crates/fakes/src/daemon.rs
@@ -90,11 +90,11 @@
     }
 
     /// Holds the process up, as a machine that is too busy does, until [`Daemon::resume`].
-    pub fn hold(&self) {
+    pub fn pause(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Ends [`Daemon::hold`].
+    /// Ends [`Daemon::pause`].
     pub fn resume(&self) {
         self.signal(libc::SIGCONT);
     }
--- a/crates/fakes/src/instance.rs
+++ b/crates/fakes/src/instance.rs
@@ -50,7 +50,7 @@
     /// Seed of all random numbers.
     pub seed: u64,
     /// Processing time of a request.
-    pub work: RangeInclusive<Duration>,
+    pub processing_time: RangeInclusive<Duration>,
     /// Requests processed at once; others wait.
     pub slots: usize,
     /// Bytes of a response's body.
@@ -65,7 +65,7 @@
     fn default() -> Self {
         Script {
             seed: 1,
-            work: Duration::from_millis(20)..=Duration::from_millis(60),
+            processing_time: Duration::from_millis(20)..=Duration::from_millis(60),
             slots: 16,
             body_bytes: 64,
             exception: None,
@@ -183,14 +183,14 @@
         while let Some(request) = http::read(&mut stream, &mut unread, Kind::Request).await? {
             recorded.record_request();
             let script = self.script();
-            let work = rng.random_range(script.work.clone());
+            let processing_time = rng.random_range(script.processing_time.clone());
             let behavior = match script.exception {
                 Some(exception) if rng.random_range(0..exception.one_in) == 0 => exception.behavior,
                 _ => ResponseBehavior::Complete,
             };
             {
                 let _slot = self.slots.acquire().await;
-                tokio::time::sleep(work).await;
+                tokio::time::sleep(processing_time).await;
             }
             match respond(&mut stream, &request, &script, behavior).await {
                 Ok(()) => recorded.responses.fetch_add(1, Ordering::Relaxed),
--- a/crates/fakes/src/measurement.rs
+++ b/crates/fakes/src/measurement.rs
@@ -19,7 +19,7 @@
 use crate::clients::HealthyClients;
 
 /// Time within which clients want a response.
-pub const WANTED: Duration = Duration::from_millis(800);
+pub const LATENCY_OBJECTIVE: Duration = Duration::from_millis(800);
 /// Time after which clients give up on a response.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Customers of the healthy clients.
@@ -230,7 +230,7 @@
         duration,
         new_connection_fraction: 0.0,
         customers: CUSTOMERS,
-        wanted: WANTED,
+        latency_objective: LATENCY_OBJECTIVE,
         timeout: CLIENT_TIMEOUT,
         seed,
     }
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -73,7 +73,7 @@
     /// A fleet whose daemon is not started; its files have names that begin with `name`.
     async fn without_daemon(name: &'static str) -> Self {
         let script = Script {
-            work: Duration::ZERO..=Duration::ZERO,
+            processing_time: Duration::ZERO..=Duration::ZERO,
             ..Script::default()
         };
         let draining = Instance::start(script.clone()).await;
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -98,7 +98,7 @@
         duration: FLOOD_DURATION,
         new_connection_fraction: 0.5,
         customers: 10,
-        wanted: Duration::from_millis(800),
+        latency_objective: Duration::from_millis(800),
         timeout: TIME_LEFT,
         seed: 5,
     };
@@ -165,7 +165,7 @@
 async fn requests_in_the_kernel_are_answered_when_more_clients_connect_than_descriptors_allow() {
     let fleet = start_fleet("floods-kernel").await;
     for round in 0..3u64 {
-        fleet.daemon.hold();
+        fleet.daemon.pause();
         let mut clients = Vec::new();
         for number in 0..2 * BAD_CLIENTS {
             let mut client = connect_to(&fleet.daemon).await;
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -20,11 +20,11 @@
 async fn instances(many: u64) -> Vec<Instance> {
     let mut instances = Vec::new();
     for seed in 0..many {
-        let work = Duration::from_millis(1)..=Duration::from_millis(2);
+        let processing_time = Duration::from_millis(1)..=Duration::from_millis(2);
         instances.push(
             Instance::start(Script {
                 seed,
-                work,
+                processing_time,
                 ..Script::default()
             })
             .await
--- a/tests/slow_peers.rs
+++ b/tests/slow_peers.rs
@@ -20,7 +20,7 @@
 
 fn script(body_bytes: usize) -> Script {
     Script {
-        work: Duration::from_millis(1)..=Duration::from_millis(2),
+        processing_time: Duration::from_millis(1)..=Duration::from_millis(2),
         body_bytes,
         ..Script::default()
     }
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -38,7 +38,7 @@
         for seed in 0..instance_count {
             let script = Script {
                 seed,
-                work: Duration::from_millis(2)..=Duration::from_millis(4),
+                processing_time: Duration::from_millis(2)..=Duration::from_millis(4),
                 ..Script::default()
             };
             instances.push(Instance::start(script).await.expect("an endpoint"));
