--- a/crates/fakes/src/bin/applewall-fake.rs
+++ b/crates/fakes/src/bin/applewall-fake.rs
@@ -1,4 +1,4 @@
-//! Starts one fake by hand. Prints where it listens, and ends by itself.
+//! Runs a single fake for manual tests of the daemon. Prints its address, and exits after the time that is set.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,20 +16,20 @@
 
 const USAGE: &str =
     "usage: applewall-fake instance [--body N] [--odd ONE_IN] [--manner NAME] | discovery ADDRESS... \
-    | etcd KEY=VALUE... | consul KEY=VALUE... | slow-readers ADDRESS [--many N]   [--seconds N]
-manners: trickle, trickle-body, head-only, all-but-one, burst, chunks";
+    | etcd KEY=VALUE... | consul KEY=VALUE... | slow-readers ADDRESS [--many N] [--seconds N]
+NAME of --manner: trickle, trickle-body, head-only, all-but-one, burst, chunks";
 
 #[derive(Debug, thiserror::Error)]
 enum Error {
     #[error(transparent)]
     Arguments(#[from] lexopt::Error),
-    #[error("unknown manner '{0}'")]
+    #[error("unknown value '{0}' of --manner")]
     UnknownBehavior(String),
-    #[error("'{0}' is no KEY=VALUE")]
-    Pair(String),
-    #[error("'{0}' is no address")]
-    Address(String),
-    #[error("slow readers go to loopback only")]
+    #[error("'{0}' does not have the form KEY=VALUE")]
+    InvalidPair(String),
+    #[error("'{0}' is not a socket address (IP:PORT)")]
+    InvalidAddress(String),
+    #[error("slow readers connect to loopback addresses only")]
     NotLoopback,
     #[error("{USAGE}")]
     Usage,
@@ -39,17 +39,18 @@
 
 /// The command line.
 struct Arguments {
-    /// Which fake is started.
+    /// Kind of fake to run.
     kind: String,
     positional: Vec<String>,
     body_bytes: usize,
+    /// One response in this many is sent with `behavior`; `None` or 0: none.
     one_in: Option<u32>,
     behavior: ResponseBehavior,
     count: usize,
     duration: Duration,
 }
 
-fn behavior(name: &str) -> Result<ResponseBehavior, Error> {
+fn parse_behavior(name: &str) -> Result<ResponseBehavior, Error> {
     Ok(match name {
         "trickle" => ResponseBehavior::ByteByByte,
         "trickle-body" => ResponseBehavior::BodyByteByByte,
@@ -61,7 +62,7 @@
     })
 }
 
-fn arguments() -> Result<Arguments, Error> {
+fn parse_arguments() -> Result<Arguments, Error> {
     let mut arguments = Arguments {
         kind: String::new(),
         positional: Vec::new(),
@@ -76,7 +77,7 @@
         match argument {
             Arg::Long("body") => arguments.body_bytes = parser.value()?.parse()?,
             Arg::Long("odd") => arguments.one_in = Some(parser.value()?.parse()?),
-            Arg::Long("manner") => arguments.behavior = behavior(&parser.value()?.string()?)?,
+            Arg::Long("manner") => arguments.behavior = parse_behavior(&parser.value()?.string()?)?,
             Arg::Long("many") => arguments.count = parser.value()?.parse()?,
             Arg::Long("seconds") => {
                 arguments.duration = Duration::from_secs(parser.value()?.parse()?);
@@ -90,12 +91,12 @@
 }
 
 impl Arguments {
-    /// The positional arguments as keys and values.
+    /// The positional arguments as pairs of key and value.
     fn pairs(&self) -> Result<Vec<(&str, &str)>, Error> {
-        let no_pair = |text: &String| Error::Pair(text.clone());
+        let invalid = |text: &String| Error::InvalidPair(text.clone());
         self.positional
             .iter()
-            .map(|text| text.split_once('=').ok_or_else(|| no_pair(text)))
+            .map(|text| text.split_once('=').ok_or_else(|| invalid(text)))
             .collect()
     }
 
@@ -118,7 +119,7 @@
     async fn run_discovery(&self) -> Result<(), Error> {
         let entry = |(number, text): (usize, &String)| {
             let address: Result<SocketAddr, _> = text.parse();
-            let address = address.map_err(|_| Error::Address(text.clone()))?;
+            let address = address.map_err(|_| Error::InvalidAddress(text.clone()))?;
             Ok(target(&format!("s-{number}"), address, "in_service"))
         };
         let targets = self.positional.iter().enumerate().map(entry);
@@ -186,7 +187,7 @@
 }
 
 fn main() -> ExitCode {
-    let result = arguments().and_then(|arguments| {
+    let result = parse_arguments().and_then(|arguments| {
         let runtime = tokio::runtime::Runtime::new()?;
         runtime.block_on(arguments.run())
     });
--- a/crates/fakes/src/bin/measure-registry.rs
+++ b/crates/fakes/src/bin/measure-registry.rs
@@ -1,9 +1,10 @@
-//! Measures how soon a drain that is written into a registry stops new requests, through broken connections, silence and
+//! Measures how soon an endpoint gets no more requests after its drain is written into a registry, under network faults and
 //! compactions.
 //!
-//! A real daemon follows a fake etcd cluster through proxies to its members, while clients send requests. In each round a
-//! disturbance begins, a drain of one instance is written, and the last request that this instance gets after the write is
-//! recorded. Status 0 only where no request came later than 500 ms in any round, and no request was lost.
+//! A real daemon watches a fake etcd cluster through proxies to its members, while clients send requests. In each round a
+//! fault is injected, a drain of one endpoint is written, and the time of the last request that this endpoint gets after the
+//! write is recorded. Exit status 0 only if no request came later than 500 ms in any round, no request was lost and no
+//! response went to the wrong request.
 
 use std::io;
 use std::process::ExitCode;
@@ -26,27 +27,27 @@
     "measure-registry",
     "measure-registry [--program FILE] [--rounds N] [--seed N]",
 );
-/// What the platform's rule allows between a write and the last request.
+/// Maximum time between the write and the last request, set by the platform.
 const DRAIN_LIMIT: Duration = Duration::from_millis(500);
-/// Time after a write in which requests are looked for.
-const OBSERVATION: Duration = Duration::from_millis(900);
-/// How long members refuse connections in [`Disturbance::Down`].
-const DOWN: Duration = Duration::from_millis(150);
-/// Time for which clients send for each round: pause, observation and reserve.
-const ROUND: Duration = Duration::from_millis(1_600);
-/// Time within which the daemon has to follow the cluster.
-const FOLLOW_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time after a write for which requests are observed.
+const OBSERVATION_TIME: Duration = Duration::from_millis(900);
+/// Time for which members refuse connections in [`Disturbance::Down`].
+const DOWN_TIME: Duration = Duration::from_millis(150);
+/// Time for which clients send in each round: pause, observation and a margin.
+const ROUND_TIME: Duration = Duration::from_millis(1_600);
+/// Time within which the daemon has to open its first watch.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 const REQUESTS_PER_SECOND: f64 = 200.0;
 const INSTANCES: usize = 6;
 const MEMBERS: usize = 3;
 
-/// What happens right before the write.
+/// Fault that is injected right before the write. The table prints the names of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Disturbance {
     None,
     /// All connections are closed.
     Cut,
-    /// The proxies in use fall silent; their connections stay open.
+    /// The proxies in use stop forwarding; their connections stay open.
     Silent,
     /// All connections are closed, and the history is compacted up to the write.
     Compacted,
@@ -86,21 +87,21 @@
     }
 }
 
-/// A daemon that follows a cluster, and what it follows.
+/// A daemon that watches a registry, the registry, and the endpoints in it.
 struct Environment {
     registry: EtcdServer,
     proxies: Vec<TcpProxy>,
     instances: Vec<Instance>,
     daemon: Daemon,
-    /// Knows no instance: the registry alone names them.
+    /// Serves an empty list, so that the daemon knows endpoints from the registry only.
     _discovery: Discovery,
 }
 
-fn key(number: usize) -> String {
+fn member_key(number: usize) -> String {
     format!("/applewall/members/s-{number}")
 }
 
-fn value(instance: &Instance, state: &str) -> String {
+fn member_record(instance: &Instance, state: &str) -> String {
     format!(
         r#"{{"endpoint":"{}","az":"a","pod_group":0,"state":"{state}"}}"#,
         instance.address
@@ -118,7 +119,7 @@
                 ..Script::default()
             };
             let instance = Instance::start(script).await?;
-            registry.put(&key(number), &value(&instance, "in_service"));
+            registry.put(&member_key(number), &member_record(&instance, "in_service"));
             instances.push(instance);
         }
         let mut proxies = Vec::new();
@@ -151,24 +152,27 @@
             daemon,
             _discovery: discovery,
         };
-        environment.wait_until_followed().await?;
+        environment.wait_for_watch().await?;
         Ok(environment)
     }
 
-    async fn wait_until_followed(&self) -> io::Result<()> {
-        let begun = Instant::now();
+    async fn wait_for_watch(&self) -> io::Result<()> {
+        let started = Instant::now();
         while self.registry.calls.watches.load(Ordering::Relaxed) == 0 {
-            if begun.elapsed() > FOLLOW_TIMEOUT {
-                return Err(io::Error::other("the daemon does not follow the registry"));
+            if started.elapsed() > WATCH_TIMEOUT {
+                return Err(io::Error::other(format!(
+                    "the daemon opened no watch of the registry within {} s",
+                    WATCH_TIMEOUT.as_secs()
+                )));
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        // The first watch can end again at once: the daemon follows for sure a moment later.
+        // The first watch may end at once; after this pause the daemon has opened a lasting one.
         tokio::time::sleep(Duration::from_millis(300)).await;
         Ok(())
     }
 
-    fn disturb(&self, disturbance: Disturbance) {
+    fn inject(&self, disturbance: Disturbance) {
         for proxy in &self.proxies {
             match disturbance {
                 Disturbance::None => {}
@@ -186,26 +190,26 @@
         }
     }
 
-    /// One round; returns the time from the write to the last request that the drained instance got.
-    async fn drain(&self, number: usize, disturbance: Disturbance) -> Duration {
-        self.disturb(disturbance);
+    /// Runs one round; returns the time from the write to the last request that the drained endpoint got.
+    async fn measure_drain(&self, number: usize, disturbance: Disturbance) -> Duration {
+        self.inject(disturbance);
         let instance = &self.instances[number];
         let revision = self
             .registry
-            .put(&key(number), &value(instance, "terminating"));
+            .put(&member_key(number), &member_record(instance, "terminating"));
         let written = Instant::now();
         if disturbance == Disturbance::Compacted {
             self.registry.compact(revision);
         }
-        let down = match disturbance {
-            Disturbance::Down => DOWN,
+        let down_time = match disturbance {
+            Disturbance::Down => DOWN_TIME,
             _ => Duration::ZERO,
         };
         let requests = || instance.recorded.requests.load(Ordering::Relaxed);
         let (mut last, mut count) = (Duration::ZERO, requests());
-        while written.elapsed() < OBSERVATION {
+        while written.elapsed() < OBSERVATION_TIME {
             tokio::time::sleep(Duration::from_millis(1)).await;
-            if written.elapsed() >= down {
+            if written.elapsed() >= down_time {
                 for proxy in &self.proxies {
                     proxy.set_refusing(false);
                 }
@@ -218,12 +222,13 @@
             proxy.set_silent(false);
         }
         self.registry
-            .put(&key(number), &value(instance, "in_service"));
+            .put(&member_key(number), &member_record(instance, "in_service"));
         last
     }
 
-    /// All rounds of a disturbance, and their row of the table; returns the sorted times of [`Environment::drain`].
-    async fn rounds(
+    /// Runs all rounds of a disturbance and prints their row of the table. Returns the sorted times of
+    /// [`Environment::measure_drain`].
+    async fn run_rounds(
         &self,
         disturbance: Disturbance,
         rounds: usize,
@@ -239,7 +244,7 @@
         for _ in 0..rounds {
             let number = rng.random_range(0..INSTANCES);
             tokio::time::sleep(Duration::from_millis(rng.random_range(100..300))).await;
-            times.push(self.drain(number, disturbance).await);
+            times.push(self.measure_drain(number, disturbance).await);
         }
         times.sort();
         let (ranges_now, watches_now) = counts();
@@ -257,11 +262,16 @@
 
 async fn measure(options: RegistryOptions) -> io::Result<Verdict> {
     let environment = Environment::start(&options).await?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let rounds = options.rounds * DISTURBANCES.len();
     let seed = options.common.seed;
     let address = environment.daemon.address;
-    let clients = healthy_clients(address, REQUESTS_PER_SECOND, ROUND * rounds as u32, seed);
+    let clients = healthy_clients(
+        address,
+        REQUESTS_PER_SECOND,
+        ROUND_TIME * rounds as u32,
+        seed,
+    );
     let clients = tokio::spawn(clients.run());
     let mut rng = SmallRng::seed_from_u64(seed);
     print_head(&[
@@ -276,16 +286,16 @@
     for disturbance in DISTURBANCES {
         times.extend(
             environment
-                .rounds(disturbance, options.rounds, &mut rng)
+                .run_rounds(disturbance, options.rounds, &mut rng)
                 .await,
         );
     }
     let progress = environment.registry.calls.progress.load(Ordering::Relaxed) as f64;
-    let progress_per_second = progress / begun.elapsed().as_secs_f64();
+    let progress_per_second = progress / started.elapsed().as_secs_f64();
     let outcomes = clients.await.map_err(io::Error::other)?;
     println!(
         "commands: {} asked, {} served, {} refused, {} failed, {} lost; {progress_per_second:.1} proofs a second from one ingress",
-        outcomes.sent, outcomes.served, outcomes.refused, outcomes.failed, outcomes.lost
+        outcomes.sent, outcomes.served, outcomes.rejected, outcomes.failed, outcomes.lost
     );
     let late = times.iter().filter(|time| **time > DRAIN_LIMIT).count();
     let worst = times.iter().max().copied().unwrap_or_default();
--- a/crates/fakes/src/bin/measure-service/environment.rs
+++ b/crates/fakes/src/bin/measure-service/environment.rs
@@ -1,4 +1,4 @@
-//! The environment of the daemons of a case, and the admin commands to them.
+//! The fakes around the daemons of a case, and the admin commands to the daemons.
 
 use std::io;
 use std::process::ExitStatus;
@@ -13,10 +13,10 @@
 use crate::{ServiceOptions, INSTANCES, MEMORY_MB};
 
 const SIGTERM: i32 = 15;
-/// Time within which a daemon has to end after SIGTERM.
+/// Time within which a daemon has to exit after SIGTERM.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3_700);
 
-/// Fakes around the daemons of one case, and what the daemons inherit.
+/// Fakes around the daemons of one case, and the resources that the daemons inherit.
 pub(crate) struct Environment<'a> {
     pub(crate) options: &'a ServiceOptions,
     settings: DaemonSettings,
@@ -83,7 +83,7 @@
 /// Sends an admin command and reads its response.
 pub(crate) async fn send_command(daemon: &Daemon, command: &str) -> io::Result<String> {
     let address = daemon.admin_address;
-    let address = address.ok_or_else(|| io::Error::other("no second address"))?;
+    let address = address.ok_or_else(|| io::Error::other("the daemon has no admin address"))?;
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(format!("{command}\n").as_bytes()).await?;
     let mut response = String::new();
@@ -91,20 +91,21 @@
     Ok(response)
 }
 
-/// Admin commands during the clients' requests, and their results.
+/// Results of the admin commands that are sent while clients send requests.
 #[derive(Default)]
 pub(crate) struct AdminCommands {
+    /// Longest time until a command was answered.
     pub(crate) slowest: Duration,
-    /// Commands that did not succeed, and other expectations that were not met.
+    /// Number of commands that did not succeed, and of other expectations that were not met.
     pub(crate) failures: u32,
 }
 
 impl AdminCommands {
     pub(crate) async fn send(&mut self, daemon: &Daemon, command: &str) {
-        let began = Instant::now();
+        let started = Instant::now();
         let response = send_command(daemon, command).await;
         if response.is_ok() {
-            self.slowest = self.slowest.max(began.elapsed());
+            self.slowest = self.slowest.max(started.elapsed());
         }
         self.expect(response.is_ok_and(|response| response.starts_with("done")));
     }
@@ -113,8 +114,8 @@
         self.failures += u32::from(!met);
     }
 
-    /// Takes instances out of service and back, one after the other, for this time.
-    pub(crate) async fn maintain(&mut self, daemon: &Daemon, duration: Duration) {
+    /// Puts one endpoint after the other into maintenance and returns it to service, for this time.
+    pub(crate) async fn run_maintenance(&mut self, daemon: &Daemon, duration: Duration) {
         let end = Instant::now() + duration;
         for number in 0.. {
             if Instant::now() >= end {
@@ -128,8 +129,8 @@
     }
 }
 
-/// Status of `GET /healthz`.
-pub(crate) async fn health(daemon: &Daemon) -> io::Result<String> {
+/// Status code of the response to `GET /healthz`.
+pub(crate) async fn health_status(daemon: &Daemon) -> io::Result<String> {
     let mut stream = TcpStream::connect(daemon.address).await?;
     stream
         .write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -139,14 +140,14 @@
     Ok(response.split(' ').nth(1).unwrap_or_default().to_string())
 }
 
-/// Sends SIGTERM and waits for the end of the process.
+/// Sends SIGTERM and waits for the process to exit. Returns its exit status, or `None` after a timeout, and the time taken.
 pub(crate) async fn terminate(daemon: &mut Daemon) -> (Option<ExitStatus>, Duration) {
     daemon.signal(SIGTERM);
-    let (began, mut status) = (Instant::now(), None);
-    while status.is_none() && began.elapsed() < SHUTDOWN_TIMEOUT {
-        // A short blocking wait: the clients run on this thread too.
+    let (started, mut status) = (Instant::now(), None);
+    while status.is_none() && started.elapsed() < SHUTDOWN_TIMEOUT {
+        // This wait blocks the thread, and clients run on it too, so it is short.
         status = daemon.wait_for_exit(Duration::from_millis(1));
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    (status, began.elapsed())
+    (status, started.elapsed())
 }
--- a/crates/fakes/src/bin/measure-service/main.rs
+++ b/crates/fakes/src/bin/measure-service/main.rs
@@ -1,8 +1,8 @@
-//! Measures maintenance against the real daemon on loopback: an upgrade in place and a drain under load, and many long
-//! responses at once in little memory.
+//! Measures maintenance of the real daemon on loopback: a hot restart and a drain under load, and many concurrent long
+//! responses with little memory.
 //!
-//! Status 0 only where no request was lost, the admin commands were answered within a second, the long responses came
-//! completely, and memory stayed under its limit.
+//! Exit status 0 only if no request was lost, failed or got the response to another one, each admin command succeeded within
+//! a second, all long responses were complete, and memory stayed below its limit.
 
 mod environment;
 
@@ -20,7 +20,7 @@
 use lexopt::Parser;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-use environment::{health, send_command, terminate, AdminCommands, Environment};
+use environment::{health_status, send_command, terminate, AdminCommands, Environment};
 
 const PROGRAM: Program = Program::with_fakes(
     "measure-service",
@@ -28,14 +28,14 @@
 );
 const INSTANCES: u64 = 9;
 const BODY_BYTES: usize = 64;
-/// Long responses at once.
+/// Number of concurrent long responses.
 const LONG_RESPONSES: u64 = 40;
 const LONG_BODY_BYTES: usize = 8 << 20;
 const MEMORY_MB: usize = 32;
-/// Goal: maximum time until an admin command is answered.
+/// Goal: each admin command is answered within this time.
 const MAX_COMMAND_TIME: Duration = Duration::from_secs(1);
-/// Time of maintenance before and after an upgrade.
-const MAINTENANCE: Duration = Duration::from_millis(500);
+/// Duration of the maintenance commands before and after a hot restart.
+const MAINTENANCE_TIME: Duration = Duration::from_millis(500);
 
 struct ServiceOptions {
     common: CommonOptions,
@@ -70,7 +70,7 @@
     }
 }
 
-/// What was measured of a case.
+/// Measured values of a case.
 struct Row {
     name: &'static str,
     outcomes: Outcomes,
@@ -87,7 +87,7 @@
             self.name.to_string(),
             format!("{:.3}", outcomes.in_time_fraction()),
             outcomes.served.to_string(),
-            outcomes.refused.to_string(),
+            outcomes.rejected.to_string(),
             outcomes.failed.to_string(),
             outcomes.lost.to_string(),
             format!("{:.1}", self.commands.slowest.as_secs_f64() * 1e3),
@@ -99,7 +99,7 @@
     }
 }
 
-async fn calm(options: &ServiceOptions) -> io::Result<Row> {
+async fn measure_calm(options: &ServiceOptions) -> io::Result<Row> {
     let environment = Environment::start(options, "calm", BODY_BYTES).await?;
     let daemon = environment.start_daemon("calm")?;
     let outcomes = options.clients(daemon.address).run().await;
@@ -113,62 +113,66 @@
     })
 }
 
-/// What was measured of an upgrade in place.
-struct Upgrade {
+/// Measured values of a hot restart.
+struct HotRestart {
     commands: AdminCommands,
-    /// Of both processes.
+    /// Of both processes together.
     peak_memory: u64,
+    /// Of the old process.
     cpu_time: Duration,
+    /// Time from the start of the new process until it was ready.
     ready_after: Duration,
-    old_ended_after: Duration,
+    /// Time from SIGTERM until the old process exited.
+    old_exited_after: Duration,
 }
 
-/// Starts a new process beside an old one, waits until it is ready, and ends the old one.
-async fn run_upgrade(
+/// Starts a new process beside an old one, waits until it is ready, and terminates the old one.
+async fn run_hot_restart(
     environment: &Environment<'_>,
     mut old: Daemon,
-) -> io::Result<(Daemon, Upgrade)> {
+) -> io::Result<(Daemon, HotRestart)> {
     let mut commands = AdminCommands::default();
     tokio::time::sleep(environment.options.duration / 4).await;
-    commands.maintain(&old, MAINTENANCE).await;
+    commands.run_maintenance(&old, MAINTENANCE_TIME).await;
     commands.send(&old, "DISABLE s-0").await;
-    let began = Instant::now();
+    let started = Instant::now();
     let new = environment.start_daemon("new")?;
     while !send_command(&new, "READY").await?.starts_with("done") {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let ready_after = began.elapsed();
-    commands.maintain(&new, MAINTENANCE).await;
+    let ready_after = started.elapsed();
+    commands.run_maintenance(&new, MAINTENANCE_TIME).await;
     let (peak_memory, old_cpu_time) = (old.peak_memory() + new.peak_memory(), old.cpu_time());
-    let (status, old_ended_after) = terminate(&mut old).await;
+    let (status, old_exited_after) = terminate(&mut old).await;
     commands.send(&new, "ENABLE s-0").await;
     commands.expect(status.is_some_and(|status| status.success()));
-    let upgrade = Upgrade {
+    let hot_restart = HotRestart {
         commands,
         peak_memory,
         cpu_time: old_cpu_time,
         ready_after,
-        old_ended_after,
+        old_exited_after,
     };
-    Ok((new, upgrade))
+    Ok((new, hot_restart))
 }
 
-async fn upgrade(options: &ServiceOptions) -> io::Result<Row> {
+/// The case "upgrade" of the table: a hot restart under load.
+async fn measure_hot_restart(options: &ServiceOptions) -> io::Result<Row> {
     let environment = Environment::start(options, "upgrade", BODY_BYTES).await?;
     let old = environment.start_daemon("old")?;
     let clients = options.clients(old.address).run();
-    let (outcomes, upgrade) = tokio::join!(clients, run_upgrade(&environment, old));
-    let (new, upgrade) = upgrade?;
+    let (outcomes, hot_restart) = tokio::join!(clients, run_hot_restart(&environment, old));
+    let (new, hot_restart) = hot_restart?;
     Ok(Row {
         name: "upgrade",
         outcomes,
-        commands: upgrade.commands,
-        peak_memory: upgrade.peak_memory,
-        cpu_time: upgrade.cpu_time + new.cpu_time(),
+        commands: hot_restart.commands,
+        peak_memory: hot_restart.peak_memory,
+        cpu_time: hot_restart.cpu_time + new.cpu_time(),
         note: format!(
             "ready after {} ms, the old one ended {} ms after SIGTERM",
-            upgrade.ready_after.as_millis(),
-            upgrade.old_ended_after.as_millis()
+            hot_restart.ready_after.as_millis(),
+            hot_restart.old_exited_after.as_millis()
         ),
     })
 }
@@ -179,12 +183,12 @@
     for (command, expected) in steps.iter().chain(&steps) {
         tokio::time::sleep(pause).await;
         commands.send(daemon, command).await;
-        commands.expect(health(daemon).await? == *expected);
+        commands.expect(health_status(daemon).await? == *expected);
     }
     Ok(commands)
 }
 
-async fn drain(options: &ServiceOptions) -> io::Result<Row> {
+async fn measure_drain(options: &ServiceOptions) -> io::Result<Row> {
     let environment = Environment::start(options, "drain", BODY_BYTES).await?;
     let daemon = environment.start_daemon("drain")?;
     let clients = options.clients(daemon.address).run();
@@ -199,14 +203,16 @@
     })
 }
 
-/// What was measured of long responses at once.
+/// Measured values of concurrent long responses.
 struct LongResponses {
+    /// Number of complete responses.
     complete: u64,
     peak_memory: u64,
-    took: Duration,
+    /// Time until the last one ended.
+    elapsed: Duration,
 }
 
-/// Whether a long response comes completely, and with status 200.
+/// Sends a request; returns whether its long response is complete and has status 200.
 async fn read_long_response(address: SocketAddr, number: u64) -> io::Result<bool> {
     let mut stream = connect(address, [127, 0, 0, 1].into(), None).await?;
     let head = request(number + 1, number, CLIENT_TIMEOUT, 0);
@@ -234,10 +240,10 @@
     Ok(body_bytes == LONG_BODY_BYTES)
 }
 
-async fn long_responses(options: &ServiceOptions) -> io::Result<LongResponses> {
+async fn measure_long_responses(options: &ServiceOptions) -> io::Result<LongResponses> {
     let environment = Environment::start(options, "long", LONG_BODY_BYTES).await?;
     let daemon = environment.start_daemon("long")?;
-    let began = Instant::now();
+    let started = Instant::now();
     let mut readers = tokio::task::JoinSet::new();
     for number in 0..LONG_RESPONSES {
         readers.spawn(read_long_response(daemon.address, number));
@@ -249,7 +255,7 @@
     Ok(LongResponses {
         complete,
         peak_memory: daemon.peak_memory(),
-        took: began.elapsed(),
+        elapsed: started.elapsed(),
     })
 }
 
@@ -273,17 +279,17 @@
         "note",
     ]);
     let rows = [
-        calm(&options).await?,
-        upgrade(&options).await?,
-        drain(&options).await?,
+        measure_calm(&options).await?,
+        measure_hot_restart(&options).await?,
+        measure_drain(&options).await?,
     ];
     rows.iter().for_each(Row::print);
-    let long = long_responses(&options).await?;
+    let long = measure_long_responses(&options).await?;
     println!(
         "long answers: {} of {LONG_RESPONSES} of {} MiB came whole in {:.1} s, peak {:.1} MB",
         long.complete,
         LONG_BODY_BYTES >> 20,
-        long.took.as_secs_f64(),
+        long.elapsed.as_secs_f64(),
         megabytes(long.peak_memory)
     );
     Ok(verdict(&rows, &long))
--- a/crates/fakes/src/bin/measure-slow-peers.rs
+++ b/crates/fakes/src/bin/measure-slow-peers.rs
@@ -1,8 +1,9 @@
-//! Measures what slow peers cost healthy clients, against the real daemon on loopback.
+//! Measures the effect of slow clients and slow endpoints on healthy clients, against the real daemon on loopback.
 //!
-//! Prints a table: requests of healthy clients served within 800 ms beside nothing, slow readers, instances that send
-//! slowly, or both, at 1,024 and 256 descriptors. Status 0 only where each row is at most 2 points below the calm case of
-//! the same run, and the peak memory is under its limit.
+//! Prints a table with the fraction of the healthy clients' requests that are served within 800 ms: without slow peers, with
+//! slow readers, with endpoints that send slowly, and with both; at 1,024 and at 256 file descriptors. Exit status 0 only if
+//! each row is at most 2 percentage points below the calm case (without slow peers) of the same run, no response went to the
+//! wrong request, no row had more open descriptors than its limit, and the peak memory at 256 descriptors is below its limit.
 
 use std::io;
 use std::process::ExitCode;
@@ -24,9 +25,9 @@
     "measure-slow-peers",
     "measure-slow-peers [--program FILE] [--seconds N] [--runs N] [--seed N] [--case PART] [--operator FILE] [--off]",
 );
-/// Goal: how far the fraction served in time may be below the calm case.
+/// Goal: maximum difference of the fraction served in time from the calm case.
 const MAX_LOSS: f64 = 0.02;
-/// Goal: peak memory at [`FEW_DESCRIPTORS`].
+/// Goal: the peak memory at [`FEW_DESCRIPTORS`] is below this.
 const MEMORY_LIMIT: u64 = 32 << 20;
 const MANY_DESCRIPTORS: usize = 1_024;
 const FEW_DESCRIPTORS: usize = 256;
@@ -37,8 +38,10 @@
     common: CommonOptions,
     duration: Duration,
     runs: u64,
+    /// Text of the operator's INI file; `None` measures without slow-peer protection.
     operator_file: Option<String>,
-    case: String,
+    /// Only cases whose name contains this text are run.
+    case_filter: String,
 }
 
 impl Default for SlowPeerOptions {
@@ -48,7 +51,7 @@
             duration: Duration::from_secs(10),
             runs: 1,
             operator_file: Some("[pace]\nenabled = on\n[bulkheads]\nenabled = on\n".into()),
-            case: String::new(),
+            case_filter: String::new(),
         }
     }
 }
@@ -58,12 +61,12 @@
         match name {
             "seconds" => self.duration = seconds(parser)?,
             "runs" => self.runs = parser.value()?.parse()?,
-            "case" => self.case = parser.value()?.string()?,
+            "case" => self.case_filter = parser.value()?.string()?,
             "operator" => {
                 let file = parser.value()?.string()?;
                 self.operator_file = std::fs::read_to_string(file).ok();
             }
-            // The daemon without its protection, for comparison.
+            // Without slow-peer protection, for comparison.
             "off" => self.operator_file = None,
             _ => return self.common.set(name, parser),
         }
@@ -71,11 +74,11 @@
     }
 }
 
-/// Instances that send slowly.
+/// Endpoints that send slowly.
 struct SlowInstances {
-    /// One response in so many is sent slowly,
+    /// One response in this many is sent slowly.
     one_in: u32,
-    /// by so many instances.
+    /// Number of these endpoints.
     count: u64,
 }
 
@@ -132,7 +135,7 @@
         self.slow_readers == 0 && self.slow_instances.is_none()
     }
 
-    /// How instance `number` deviates from sending complete responses.
+    /// Responses that endpoint `number` sends slowly, if any.
     fn exception(&self, number: u64) -> Option<Exception> {
         let slow = self.slow_instances.as_ref()?;
         (number < slow.count).then_some(Exception {
@@ -169,12 +172,12 @@
     }
 }
 
-/// What was measured of a case.
+/// Measured values of a case.
 struct Row {
     outcomes: Outcomes,
     peak_memory: u64,
     cpu_time: Duration,
-    descriptors: usize,
+    open_descriptors: usize,
     slow_clients_closed: u64,
     log: Vec<String>,
 }
@@ -207,17 +210,18 @@
     healthy.new_connection_fraction = 0.5;
     let slow = case.slow_clients(&daemon, options.duration);
     let counts = Arc::new(SlowClientCounts::default());
-    let descriptors = async {
+    // Counted near the end of the case, while the slow clients are connected.
+    let open_descriptors = async {
         tokio::time::sleep(options.duration.mul_f64(0.9)).await;
         daemon.descriptors()
     };
-    let (outcomes, (), descriptors) =
-        tokio::join!(healthy.run(), slow.run(counts.clone()), descriptors);
+    let (outcomes, (), open_descriptors) =
+        tokio::join!(healthy.run(), slow.run(counts.clone()), open_descriptors);
     Ok(Row {
         outcomes,
         peak_memory: daemon.peak_memory(),
         cpu_time: daemon.cpu_time(),
-        descriptors,
+        open_descriptors,
         slow_clients_closed: counts.closed_by_daemon.load(Ordering::Relaxed),
         log: daemon.log(),
     })
@@ -232,7 +236,7 @@
         format!("{:.3}", outcomes.in_time_fraction()),
         format!("{loss:+.3}"),
         outcomes.served.to_string(),
-        outcomes.refused.to_string(),
+        outcomes.rejected.to_string(),
         outcomes.failed.to_string(),
         outcomes.lost.to_string(),
         format!("{:.1}", latency_ms(0.5)),
@@ -240,7 +244,7 @@
         row.slow_clients_closed.to_string(),
         format!("{:.1}", megabytes(row.peak_memory)),
         format!("{:.3}", cpu_ms_per_request(row.cpu_time, outcomes.sent)),
-        row.descriptors.to_string(),
+        row.open_descriptors.to_string(),
     ]);
     if std::env::var_os("LOGS").is_some() {
         for line in &row.log {
@@ -249,7 +253,7 @@
     }
 }
 
-/// What the verdict is about.
+/// Values over all rows, for the verdict.
 struct Totals {
     worst_loss: f64,
     worst_case: String,
@@ -266,27 +270,28 @@
         if max_descriptors == FEW_DESCRIPTORS {
             self.peak_memory = self.peak_memory.max(row.peak_memory);
         }
-        self.met &=
-            loss <= MAX_LOSS && row.outcomes.mismatched == 0 && row.descriptors <= max_descriptors;
+        self.met &= loss <= MAX_LOSS
+            && row.outcomes.mismatched == 0
+            && row.open_descriptors <= max_descriptors;
     }
 }
 
-/// All cases at one number of descriptors.
+/// Runs and prints all selected cases at one limit of descriptors.
 async fn run_cases(
     options: &SlowPeerOptions,
     max_descriptors: usize,
     seed: u64,
     totals: &mut Totals,
 ) -> io::Result<()> {
-    let mut calm = 0.0;
-    let selected = |case: &&Case| case.name.contains(&options.case);
+    let mut calm_fraction = 0.0;
+    let selected = |case: &&Case| case.name.contains(&options.case_filter);
     for case in CASES.iter().filter(selected) {
         let row = run_case(options, case, max_descriptors, seed).await?;
         let fraction = row.outcomes.in_time_fraction();
         if case.is_calm() {
-            calm = fraction;
+            calm_fraction = fraction;
         }
-        let loss = calm - fraction;
+        let loss = calm_fraction - fraction;
         print_case(max_descriptors, case, &row, loss);
         totals.add(max_descriptors, case, &row, loss);
     }
--- a/crates/fakes/src/clients.rs
+++ b/crates/fakes/src/clients.rs
@@ -1,7 +1,7 @@
-//! Fake clients: healthy ones that send at times drawn ahead, and slow ones.
+//! Fake clients: healthy ones with an open-loop load, and slow ones.
 //!
-//! Input: the daemon's address and a description of the clients. Output: counts of what they observed. Invariant:
-//! healthy clients send at times drawn ahead, so that a late response delays nobody's request.
+//! Input: the daemon's address and a description of the clients. Output: counts of what they observed. Invariant: the send
+//! times of healthy clients do not depend on responses, so that a late response delays no other request.
 
 mod healthy;
 mod slow;
@@ -29,18 +29,18 @@
     )
 }
 
-/// Connects from the address `from`, with a receive buffer of this size where there is one.
+/// Connects from the address `from`, with a receive buffer of this size if one is given.
 ///
 /// # Errors
 ///
-/// Errors of the socket.
+/// Socket errors.
 pub async fn connect(
     to: SocketAddr,
     from: IpAddr,
     receive_buffer_bytes: Option<u32>,
 ) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
-    // Many connections to one port: without it, the system runs out of ports for the source address.
+    // Without it, many connections to one port exhaust the ephemeral ports of the source address.
     socket.set_reuseaddr(true)?;
     if let Some(bytes) = receive_buffer_bytes {
         socket.set_recv_buffer_size(bytes)?;
--- a/crates/fakes/src/clients/healthy.rs
+++ b/crates/fakes/src/clients/healthy.rs
@@ -1,5 +1,4 @@
-//! Healthy clients.
-
+//! Healthy clients: they send at random times and read responses without delay.
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -17,27 +16,27 @@
 use super::connect;
 use crate::http::{self, Kind, Message};
 
-/// Highest latency that is recorded: longer than any client waits.
+/// Highest latency that is recorded; longer than the timeout of any client.
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
 
 /// Outcomes of the requests of healthy clients.
 #[derive(Debug)]
 pub struct Outcomes {
-    /// Of served requests, from the intended send time to the last byte of the response, in microseconds.
+    /// Latency of served requests in microseconds, from the scheduled send time to the last byte of the response.
     pub latency: Histogram<u64>,
-    /// Requests that were to be sent.
+    /// All requests, including those whose connection attempt failed.
     pub sent: u64,
     /// Served within the latency objective.
     pub in_time: u64,
-    /// Served at all.
+    /// Served: status 200.
     pub served: u64,
-    /// Refused: 429 or 503.
-    pub refused: u64,
-    /// Failed with a response.
+    /// Rejected: status 429 or 503.
+    pub rejected: u64,
+    /// Failed: a response with another status.
     pub failed: u64,
-    /// Without a complete response.
+    /// Requests without a complete response before the timeout.
     pub lost: u64,
-    /// Responses that were made for another request.
+    /// Served requests whose response was for another request.
     pub mismatched: u64,
 }
 
@@ -49,7 +48,7 @@
             sent: 0,
             in_time: 0,
             served: 0,
-            refused: 0,
+            rejected: 0,
             failed: 0,
             lost: 0,
             mismatched: 0,
@@ -67,14 +66,16 @@
         self.sent += 1;
         match result {
             Ok(response) if response.status == "200" => {
-                let Response { matches, took, .. } = response;
+                let Response {
+                    matches, latency, ..
+                } = response;
                 self.mismatched += u64::from(!matches);
                 self.served += 1;
-                self.in_time += u64::from(matches && took <= latency_objective);
-                self.latency.saturating_record(took.as_micros() as u64);
+                self.in_time += u64::from(matches && latency <= latency_objective);
+                self.latency.saturating_record(latency.as_micros() as u64);
             }
             Ok(response) if response.status == "429" || response.status == "503" => {
-                self.refused += 1;
+                self.rejected += 1;
             }
             Ok(_) => self.failed += 1,
             Err(_) => self.lost += 1,
@@ -82,22 +83,22 @@
     }
 }
 
-/// Healthy clients.
+/// Load of healthy clients.
 #[derive(Clone, Debug)]
 pub struct HealthyClients {
-    /// The daemon.
+    /// Address of the daemon.
     pub address: SocketAddr,
-    /// Their own address.
+    /// Source address of the clients.
     pub source: IpAddr,
-    /// Mean requests per second, by a Poisson process.
+    /// Mean rate of a Poisson process.
     pub requests_per_second: f64,
-    /// Time for which they send.
+    /// Time for which requests are sent.
     pub duration: Duration,
-    /// Fraction of requests on a new connection each; the others reuse connections.
+    /// Fraction of requests that open a connection of their own; the others reuse connections.
     pub new_connection_fraction: f64,
-    /// Number of customers; each request is of a random one.
+    /// Number of customers; each request is from a random one.
     pub customers: u64,
-    /// Time within which a response counts as in time.
+    /// A response within this time counts as in time.
     pub latency_objective: Duration,
     /// Time after which a client gives up on a response.
     pub timeout: Duration,
@@ -105,28 +106,28 @@
     pub seed: u64,
 }
 
-/// One request, with the time at which it is to be sent.
+/// A request, with the time at which it is to be sent.
 struct Request {
     id: u64,
     customer: u64,
-    intended: Instant,
+    scheduled_at: Instant,
     new_connection: bool,
 }
 
 /// A response to a request.
 struct Response {
     status: String,
-    /// It was made for this request.
+    /// It is the response to this request, not to another one.
     matches: bool,
-    /// Since the intended send time.
-    took: Duration,
+    /// Since the scheduled send time.
+    latency: Duration,
 }
 
 /// Connections that can be reused.
 type IdleConnections = Mutex<Vec<TcpStream>>;
 
 impl HealthyClients {
-    /// Sends the requests; returns when the last one has its response or is given up.
+    /// Sends the requests; returns when each one has its response or has timed out.
     pub async fn run(self) -> Outcomes {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let outcomes = Arc::new(Mutex::new(Outcomes::default()));
@@ -144,12 +145,12 @@
                 new_connection: rng.random_bool(clients.new_connection_fraction),
                 customer: rng.random_range(1..=clients.customers),
                 id: clients.seed << 32 | number,
-                intended: start + at,
+                scheduled_at: start + at,
             };
-            tokio::time::sleep_until(request.intended).await;
+            tokio::time::sleep_until(request.scheduled_at).await;
             let (clients, outcomes, idle) = (clients.clone(), outcomes.clone(), idle.clone());
             tasks.spawn(async move {
-                let deadline = request.intended + clients.timeout;
+                let deadline = request.scheduled_at + clients.timeout;
                 let response =
                     tokio::time::timeout_at(deadline, clients.send(&request, &idle)).await;
                 let response = response.unwrap_or(Err(io::ErrorKind::TimedOut.into()));
@@ -165,7 +166,7 @@
     }
 
     async fn send(&self, request: &Request, idle: &IdleConnections) -> io::Result<Response> {
-        let time_left = self.timeout.saturating_sub(request.intended.elapsed());
+        let time_left = self.timeout.saturating_sub(request.scheduled_at.elapsed());
         let text = super::request(request.id, request.customer, time_left, 0);
         let reused = if request.new_connection {
             None
@@ -174,7 +175,8 @@
         };
         let reused = match reused {
             None => None,
-            // The daemon may close an idle connection while a request is on its way: it is sent once more.
+            // The daemon may close an idle connection while a request is in flight: the request is sent again on a new
+            // connection.
             Some(mut stream) => match exchange(&mut stream, &text).await {
                 Ok(Some(message)) => Some((stream, message)),
                 Ok(None) | Err(_) => None,
@@ -193,7 +195,7 @@
             matches: message
                 .body
                 .starts_with(format!("{:016x}", request.id).as_bytes()),
-            took: request.intended.elapsed(),
+            latency: request.scheduled_at.elapsed(),
         };
         if !request.new_connection && !message.closes() {
             idle.lock().await.push(stream);
@@ -202,7 +204,7 @@
     }
 }
 
-/// Writes a request and reads its response; `None` where the connection ends before its first byte.
+/// Writes a request and reads its response; `None` if the connection is closed before the response begins.
 async fn exchange(stream: &mut TcpStream, text: &str) -> io::Result<Option<Message>> {
     stream.write_all(text.as_bytes()).await?;
     http::read(stream, &mut Vec::new(), Kind::Response).await
--- a/crates/fakes/src/clients/slow.rs
+++ b/crates/fakes/src/clients/slow.rs
@@ -13,33 +13,33 @@
 
 use super::{connect, request};
 
-/// Time left that each request states.
+/// Remaining time that each request states.
 const TIME_LEFT: Duration = Duration::from_secs(3);
-/// Customer of the first client; the others follow.
+/// Customer id of the first client; those of the others follow.
 const FIRST_CUSTOMER: u64 = 1_000_000;
-/// Clients with addresses in one /24: fewer than a limit on connections of one network allows.
+/// Number of clients with addresses in one /24 network; below the limit on the connections of one network.
 const CLIENTS_PER_SUBNET: usize = 50;
-/// Marks the request ids of slow clients.
+/// High bits by which the request ids of slow clients differ from those of healthy ones.
 const ID_PREFIX: u64 = 0xf000_0000_0000_0000;
 
-/// Slow clients.
+/// Load of slow clients.
 #[derive(Clone, Debug)]
 pub struct SlowClients {
-    /// The daemon.
+    /// Address of the daemon.
     pub address: SocketAddr,
     /// Number of clients.
     pub count: usize,
-    /// Time within which all of them arrive.
+    /// Time over which their first connections are spread.
     pub arrival_window: Duration,
-    /// Interval of the bytes that each reads; `None`: it stops reading altogether.
+    /// Interval between the bytes that each one reads; `None`: it stops reading after the first byte.
     pub byte_interval: Option<Duration>,
-    /// Wait of a disconnected or refused client before it reconnects.
+    /// Time that a disconnected or rejected client waits before it reconnects.
     pub reconnect_delay: Duration,
-    /// Time after which they leave.
+    /// Time after which they disconnect.
     pub duration: Duration,
-    /// Size of each socket's receive buffer: small as a phone's, or as one that a hostile client chooses.
+    /// Size of each socket's receive buffer; small, as on a phone or as a malicious client sets it.
     pub receive_buffer_bytes: u32,
-    /// Bytes of a request body that each sends slowly too; 0: no body.
+    /// Size of the request body, which is sent at the same interval; 0: no body.
     pub upload_bytes: usize,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl SlowClients {
-    /// Runs them for their time.
+    /// Runs the clients for their duration.
     pub async fn run(self, counts: Arc<SlowClientCounts>) {
         let end = Instant::now() + self.duration;
         let clients = Arc::new(self);
@@ -71,7 +71,7 @@
         while tasks.join_next().await.is_some() {}
     }
 
-    /// One client, from an address of its own; each is a customer.
+    /// Runs one client, with a source address and a customer of its own.
     async fn run_one(&self, number: usize, counts: &SlowClientCounts) {
         let subnet = (number / CLIENTS_PER_SUBNET) as u8;
         let host = (number % CLIENTS_PER_SUBNET + 1) as u8;
@@ -113,7 +113,7 @@
         let mut first = true;
         loop {
             if self.byte_interval.is_none() && !first {
-                // Reads no more: only the end of the connection wakes it, nothing else is asked of the socket.
+                // Stops reading, and waits only for the end of the connection.
                 stream.ready(Interest::ERROR).await?;
             }
             if !matches!(stream.read(&mut byte).await, Ok(1)) {
@@ -122,7 +122,8 @@
             if std::mem::take(&mut first) {
                 counts.responses_begun.fetch_add(1, Ordering::Relaxed);
             }
-            // What was received before a reset could still be read: the end is noticed at once, as by a browser.
+            // Bytes received before a reset can still be read, so the reset is watched for separately: the client notices it
+            // at once, as a browser does.
             tokio::select! {
                 _ = stream.ready(Interest::ERROR) => return Ok(()),
                 () = tokio::time::sleep(self.byte_interval.unwrap_or_default()) => {}
--- a/crates/fakes/src/consul.rs
+++ b/crates/fakes/src/consul.rs
@@ -1,4 +1,4 @@
-//! A fake Consul agent: recursive reads of a key-value store, blocking by index.
+//! A fake Consul agent: a key-value store with recursive reads and blocking queries.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -16,7 +16,7 @@
 
 use crate::http::{self, Kind, Message};
 
-/// Wait of a blocking query that names none: Consul's default.
+/// Wait time of a blocking query that states none: Consul's default.
 const DEFAULT_WAIT_MS: u64 = 300_000;
 
 #[derive(Clone)]
@@ -57,7 +57,7 @@
         self.pairs.insert(key.to_string(), pair);
     }
 
-    /// The keys with a prefix, in Consul's JSON form.
+    /// Entries whose keys have the prefix, in Consul's JSON format.
     fn entries(&self, prefix: &str) -> Vec<Value> {
         let matching = self.pairs.iter().filter(|(key, _)| key.starts_with(prefix));
         let entry = |(key, pair): (&String, &Pair)| {
@@ -68,34 +68,34 @@
     }
 }
 
-/// An agent that runs until the runtime ends.
+/// A Consul agent that runs until the runtime shuts down.
 pub struct ConsulAgent {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     store: watch::Sender<Store>,
-    /// What stale reads are answered from while it lags.
-    stale: watch::Sender<Option<Store>>,
-    /// Reads that it answered.
+    /// Earlier contents that answer stale reads while the agent lags.
+    stale_store: watch::Sender<Option<Store>>,
+    /// Number of reads answered.
     pub reads: Arc<AtomicU64>,
 }
 
 impl ConsulAgent {
-    /// Starts one with an empty store on a free port of loopback.
+    /// Starts an agent with an empty store on a free loopback port.
     ///
     /// # Errors
     ///
-    /// Errors of the socket.
+    /// Socket errors.
     pub async fn start() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let agent = ConsulAgent {
             address: listener.local_addr()?,
             store: watch::Sender::new(Store::new()),
-            stale: watch::Sender::new(None),
+            stale_store: watch::Sender::new(None),
             reads: Arc::new(AtomicU64::new(0)),
         };
         let server = Server {
             store: agent.store.subscribe(),
-            stale: agent.stale.subscribe(),
+            stale_store: agent.stale_store.subscribe(),
             reads: agent.reads.clone(),
         };
         tokio::spawn(async move {
@@ -106,29 +106,29 @@
         Ok(agent)
     }
 
-    /// Writes a key, or removes it.
+    /// Writes a key, or deletes it if the value is `None`.
     pub fn put(&self, key: &str, value: Option<&str>) {
         self.store.send_modify(|store| store.put(key, value));
     }
 
-    /// Whether stale reads are answered from the store as it is at this moment.
+    /// While lagging, the agent answers stale reads with the contents that the store has now.
     pub fn set_lagging(&self, lagging: bool) {
-        self.stale
+        self.stale_store
             .send_replace(lagging.then(|| self.store.borrow().clone()));
     }
 
-    /// Empties the store and starts its index again, as after a loss of the cluster.
+    /// Empties the store and resets its index, as after the loss of the cluster's data.
     pub fn reset(&self) {
         self.store.send_replace(Store::new());
     }
 
-    /// Whether it knows a leader.
+    /// Sets whether the agent knows a leader of the cluster.
     pub fn set_leader_known(&self, known: bool) {
         self.store.send_modify(|store| store.leader_known = known);
     }
 }
 
-/// A blocking query.
+/// Parameters of a read, which blocks until the index changes.
 struct Query {
     prefix: String,
     index: u64,
@@ -137,7 +137,7 @@
 }
 
 impl Query {
-    fn of(request: &Message) -> Self {
+    fn from_request(request: &Message) -> Self {
         let target = request.target();
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let parameter = |name: &str| {
@@ -155,11 +155,11 @@
     }
 }
 
-/// What the connections of an agent share.
+/// State shared by the connections of an agent.
 #[derive(Clone)]
 struct Server {
     store: watch::Receiver<Store>,
-    stale: watch::Receiver<Option<Store>>,
+    stale_store: watch::Receiver<Option<Store>>,
     reads: Arc<AtomicU64>,
 }
 
@@ -167,7 +167,7 @@
     async fn serve(mut self, mut stream: TcpStream) -> io::Result<()> {
         let mut unread = Vec::new();
         while let Some(request) = http::read(&mut stream, &mut unread, Kind::Request).await? {
-            let query = Query::of(&request);
+            let query = Query::from_request(&request);
             let store = self.await_store(&query).await;
             self.reads.fetch_add(1, Ordering::Relaxed);
             let entries = store.entries(&query.prefix);
@@ -187,11 +187,12 @@
         Ok(())
     }
 
-    /// The store that answers a query, once its index differs from the query's or the wait is over.
+    /// Returns the contents that answer a query, once their index differs from the query's or the wait time has passed.
+    /// Stale reads of a lagging agent do not wait.
     async fn await_store(&mut self, query: &Query) -> Store {
-        let stale = self.stale.borrow().clone().filter(|_| query.allows_stale);
-        if let Some(stale) = stale {
-            return stale;
+        let stale_store = self.stale_store.borrow().clone();
+        if let Some(stale_store) = stale_store.filter(|_| query.allows_stale) {
+            return stale_store;
         }
         let changed = self.store.wait_for(|store| store.index != query.index);
         let _ = tokio::time::timeout(query.wait, changed).await;
--- a/crates/fakes/src/daemon.rs
+++ b/crates/fakes/src/daemon.rs
@@ -1,7 +1,7 @@
-//! The daemon as a process: started with a configuration of its own, observed from outside, and ended.
+//! Runs the daemon as a child process with its own configuration, and observes it from outside.
 //!
-//! Input: settings, and what it inherits. Output: addresses from its log, the log, resource usage. Invariant: the process
-//! and its files go with its [`Daemon`].
+//! Input: settings and inherited resources. Output: the addresses from its log, the log and its resource usage. Invariant:
+//! dropping a [`Daemon`] kills the process and deletes its configuration files.
 
 mod launcher;
 
@@ -16,27 +16,27 @@
 
 pub use launcher::{DaemonLauncher, DaemonSettings, InheritedResources};
 
-/// Interval at which the end of the process is polled.
+/// Interval at which the exit of the process is polled.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running daemon. Killed when dropped.
 pub struct Daemon {
     child: Child,
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
-    /// Where operators connect, if it has a second address.
+    /// Admin address, if the daemon has one.
     pub admin_address: Option<SocketAddr>,
     log: Arc<Mutex<Vec<String>>>,
     files: Vec<PathBuf>,
 }
 
 impl Daemon {
-    /// Starts the program and waits until it listens; its files go into `folder`, under names that begin with `name`.
+    /// Starts the program and waits until it listens. Its files are created in `folder`, with names that begin with `name`.
     /// [`DaemonLauncher`] has more options.
     ///
     /// # Errors
     ///
-    /// As of [`DaemonLauncher::start`].
+    /// Those of [`DaemonLauncher::start`].
     pub fn start(
         program: &Path,
         folder: &Path,
@@ -46,17 +46,17 @@
         DaemonLauncher::new(program, folder, name, settings).start()
     }
 
-    /// The lines of its log so far.
+    /// Lines that it has logged so far.
     pub fn log(&self) -> Vec<String> {
         lock(&self.log).clone()
     }
 
-    /// Its highest resident memory, in bytes.
+    /// Peak resident memory in bytes; 0 if unknown.
     pub fn peak_memory(&self) -> u64 {
         peak_memory_bytes(self.child.id()).unwrap_or(0)
     }
 
-    /// Processor time that its threads have used, by the scheduler's count.
+    /// CPU time of the threads that it has now, from the scheduler's statistics (`schedstat`).
     pub fn cpu_time(&self) -> Duration {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id()));
         let tasks = tasks.into_iter().flatten().flatten();
@@ -67,39 +67,39 @@
         Duration::from_nanos(used_ns.sum())
     }
 
-    /// Descriptors that it has open.
+    /// Number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .map_or(0, std::iter::Iterator::count)
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: i32) {
-        // SAFETY: a signal to a child of this process that was not waited for, so the id is still its own.
+        // SAFETY: the child has not been waited for, so the process id still belongs to it.
         unsafe { libc::kill(self.child.id() as libc::pid_t, signal) };
     }
 
-    /// Sends the process SIGTERM.
+    /// Starts a graceful shutdown (SIGTERM).
     pub fn terminate(&self) {
         self.signal(libc::SIGTERM);
     }
 
-    /// Tells the process to read its configuration again (SIGHUP).
+    /// Makes the process reload its configuration (SIGHUP).
     pub fn reload(&self) {
         self.signal(libc::SIGHUP);
     }
 
-    /// Holds the process up, as a machine that is too busy does, until [`Daemon::resume`].
+    /// Suspends the process until [`Daemon::resume`], as on a machine that is too busy to schedule it.
     pub fn pause(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Ends [`Daemon::pause`].
+    /// Continues the process after [`Daemon::pause`].
     pub fn resume(&self) {
         self.signal(libc::SIGCONT);
     }
 
-    /// Waits for its end for at most so long; its exit status, or `None` where it still runs.
+    /// Waits up to `timeout` for the process to exit. Returns its exit status, or `None` if it is still running.
     pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<ExitStatus> {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
--- a/crates/fakes/src/daemon/launcher.rs
+++ b/crates/fakes/src/daemon/launcher.rs
@@ -1,4 +1,4 @@
-//! The start of the daemon: its configuration, environment and inherited listener, until it listens.
+//! Starts the daemon with its configuration, environment and inherited listener, and waits until it listens.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -12,38 +12,38 @@
 
 use super::{lock, Daemon};
 
-/// Time from the start of a process to the log line that it listens.
+/// Maximum time from the start of a process until it logs the addresses on which it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Descriptor on which the daemon finds an inherited listener.
+/// File descriptor on which the daemon inherits a listener.
 const INHERITED_DESCRIPTOR: &str = "7";
 
-/// Settings of the daemon.
+/// Settings from which the daemon's configuration is written.
 #[derive(Clone, Debug)]
 pub struct DaemonSettings {
-    /// Descriptors that it may use.
+    /// Maximum number of file descriptors.
     pub max_descriptors: usize,
-    /// Memory that it may use, in MB. Not enforced: tests read the peak afterwards.
+    /// Memory limit in MB. It is not enforced; tests check the peak memory afterwards.
     pub memory_mb: usize,
-    /// Text of the operator's file, if it gets one.
+    /// Text of the operator's INI file, if any.
     pub operator_file: Option<String>,
-    /// Where discovery listens.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The list as the daemon last had it.
+    /// Endpoint list with which the daemon starts, as if known from an earlier run.
     pub known_targets: Vec<Value>,
-    /// Quota of each customer, units per second; ten times as much at once.
+    /// Quota of each customer in units per second; the burst is ten times as many units.
     pub quota_per_second: f64,
 }
 
-/// What the consecutive processes of an ingress share.
+/// Resources that the successive processes of an ingress share.
 #[derive(Debug)]
 pub struct InheritedResources {
-    /// The listener for clients; open here as long as any of them runs.
+    /// Listener for clients; it stays open in this process while any of them runs.
     pub listener: std::net::TcpListener,
-    /// Their `$TMPDIR`.
+    /// Their `TMPDIR`.
     pub folder: PathBuf,
 }
 
-/// Starts a daemon.
+/// Builder that starts a daemon.
 #[derive(Debug)]
 pub struct DaemonLauncher<'a> {
     program: &'a Path,
@@ -55,7 +55,7 @@
 }
 
 impl<'a> DaemonLauncher<'a> {
-    /// A launcher of this program; the daemon's files go into `folder`, under names that begin with `name`.
+    /// A launcher of `program`. The daemon's files are created in `folder`, with names that begin with `name`.
     pub fn new(
         program: &'a Path,
         folder: &'a Path,
@@ -72,14 +72,14 @@
         }
     }
 
-    /// The daemon inherits the listener and the folder, and has an admin address.
+    /// Passes the listener and the folder to the daemon, and gives it an admin address.
     #[must_use]
     pub fn inheriting(mut self, inherited: &'a InheritedResources) -> Self {
         self.inherited = Some(inherited);
         self
     }
 
-    /// A further variable of the daemon's environment.
+    /// Adds a variable to the daemon's environment.
     #[must_use]
     pub fn variable(mut self, name: &'a str, value: PathBuf) -> Self {
         self.variables.push((name, value));
@@ -90,7 +90,8 @@
     ///
     /// # Errors
     ///
-    /// Errors of the files and of the start, or the last line of the log of a program that ended instead.
+    /// I/O errors of the files and of the start. If the program does not listen in time, the error is the last line of its
+    /// log.
     pub fn start(self) -> io::Result<Daemon> {
         let config = self.folder.join(format!("{}.json", self.name));
         std::fs::write(&config, configuration(self.settings).to_string())?;
@@ -121,11 +122,12 @@
     }
 }
 
-/// Waits for the log line that names the addresses; its error is the last line of the log where there is none.
+/// Waits for the log line with the addresses. If there is none, the error is the last line of the log.
 fn wait_until_listening(mut child: Child, files: Vec<PathBuf>) -> io::Result<Daemon> {
     let log = Arc::new(Mutex::new(Vec::new()));
     let stderr = child.stderr.take();
-    let stderr = stderr.ok_or_else(|| io::Error::other("no standard error"))?;
+    let stderr =
+        stderr.ok_or_else(|| io::Error::other("the daemon's standard error is not a pipe"))?;
     let (sender, addresses) = mpsc::channel();
     let lines = log.clone();
     std::thread::spawn(move || read_log(stderr, &lines, &sender));
@@ -142,18 +144,18 @@
     let _ = child.wait();
     let last = lock(&log).last().cloned();
     Err(io::Error::other(last.unwrap_or_else(|| {
-        "the daemon ended or hung without a log line".to_string()
+        "the daemon exited or hung without logging anything".to_string()
     })))
 }
 
-/// Where a daemon listens, by its log.
+/// Addresses on which a daemon listens, from its log.
 struct Addresses {
     clients: SocketAddr,
     admin: Option<SocketAddr>,
 }
 
-/// A command whose process has the listener as [`INHERITED_DESCRIPTOR`]: a shell moves it there from its standard input,
-/// and becomes the daemon.
+/// A command that runs the program with the listener as [`INHERITED_DESCRIPTOR`]. It starts a shell that moves the listener
+/// there from standard input and then executes the program in its own process.
 fn inheriting_command(program: &Path, inherited: &InheritedResources) -> io::Result<Command> {
     let listener = inherited.listener.try_clone()?;
     let script = format!(r#"exec "$0" "$@" {INHERITED_DESCRIPTOR}<&0 0</dev/null"#);
@@ -163,26 +165,27 @@
     Ok(shell)
 }
 
-/// Collects the log, and sends the addresses once a line has them.
-fn read_log(stderr: ChildStderr, log: &Mutex<Vec<String>>, listening: &Sender<Option<Addresses>>) {
+/// Collects the log, and sends the addresses when a line contains them.
+fn read_log(stderr: ChildStderr, log: &Mutex<Vec<String>>, addresses: &Sender<Option<Addresses>>) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
         if let Some((_, rest)) = line.split_once("serving n0 on ") {
-            let _ = listening.send(addresses(rest));
+            let _ = addresses.send(parse_addresses(rest));
         }
         lock(log).push(line);
     }
 }
 
-fn addresses(rest: &str) -> Option<Addresses> {
+/// Parses the part of the log line that follows "serving n0 on ".
+fn parse_addresses(text: &str) -> Option<Addresses> {
     let first = |text: &str| text.split([',', ' ']).next()?.parse().ok();
-    let admin = rest.split_once("operators on ");
+    let admin = text.split_once("operators on ");
     Some(Addresses {
-        clients: first(rest)?,
-        admin: admin.and_then(|(_, rest)| first(rest)),
+        clients: first(text)?,
+        admin: admin.and_then(|(_, address)| first(address)),
     })
 }
 
-/// The platform's configuration. Its keys are the platform's.
+/// The platform's configuration file, with the keys that the platform defines.
 fn configuration(settings: &DaemonSettings) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": settings.discovery.to_string(), "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": settings.memory_mb, "sockets": settings.max_descriptors},
--- a/crates/fakes/src/discovery.rs
+++ b/crates/fakes/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A fake of discovery's agent: the full list, and watches that are answered when it changes.
+//! A fake discovery agent: serves the full endpoint list, and watches that are answered when it changes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::http::{self, Kind};
 use crate::instance::Instance;
 
-/// Maximum time that a watch waits for a change; a longer wait in the request is cut.
+/// Maximum time that a watch waits for a change; longer waits in requests are shortened to it.
 const MAX_WATCH_MS: u64 = 60_000;
 
 #[derive(Clone)]
@@ -21,20 +21,20 @@
     targets: Vec<Value>,
 }
 
-/// An agent that runs until the runtime ends.
+/// A discovery agent that runs until the runtime shuts down.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     list: watch::Sender<List>,
 }
 
-/// An entry of the list, in the JSON form of the platform.
+/// An entry of the endpoint list, in the platform's JSON format.
 pub fn target(id: &str, endpoint: SocketAddr, state: &str) -> Value {
     json!({"uid": id, "endpoint": endpoint.to_string(), "az": "a", "model": "m", "pod_group": 0, "state": state,
            "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// Entries of these instances, all in service: `s-0`, `s-1` and so on.
+/// Entries of these instances, all in service, with the ids `s-0`, `s-1` and so on.
 pub fn in_service(instances: &[Instance]) -> Vec<Value> {
     let entry = |(number, instance): (usize, &Instance)| {
         target(&format!("s-{number}"), instance.address, "in_service")
@@ -43,25 +43,25 @@
 }
 
 impl Discovery {
-    /// Starts one on a free port of loopback, with this list at revision 1.
+    /// Starts an agent on a free loopback port, with this list at revision 1.
     ///
     /// # Errors
     ///
-    /// Errors of the socket.
+    /// Socket errors.
     pub async fn start(targets: Vec<Value>) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let revision = 1;
-        let (list, follower) = watch::channel(List { revision, targets });
+        let (list, receiver) = watch::channel(List { revision, targets });
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(serve(stream, follower.clone()));
+                tokio::spawn(serve(stream, receiver.clone()));
             }
         });
         Ok(Discovery { address, list })
     }
 
-    /// Replaces the list, at the next revision.
+    /// Replaces the list and increments its revision.
     pub fn publish(&self, targets: Vec<Value>) {
         self.list.send_modify(|list| {
             list.revision += 1;
@@ -80,7 +80,7 @@
             let _ = tokio::time::timeout(wait, changed).await;
         }
         let List { revision, targets } = list.borrow_and_update().clone();
-        // A watch that times out without a change shows no entries.
+        // The response to a watch that times out without a change has no entries.
         let changed = after.is_none_or(|after| revision > after);
         let targets = if changed { targets } else { Vec::new() };
         let body = json!({"rev": revision, "all": changed, "targets": targets}).to_string();
--- a/crates/fakes/src/etcd.rs
+++ b/crates/fakes/src/etcd.rs
@@ -1,7 +1,7 @@
-//! A fake etcd v3 server: one store with its history, compactions, and watches.
+//! A fake etcd v3 server: a key-value store with history, compaction and watches.
 //!
-//! As much of the public API as clients need: Range, Put, DeleteRange, Compact, and Watch with progress requests and
-//! fragmented responses. Its tests drive it with a client library of third parties.
+//! It has the part of the public API that clients need: Range, Put, DeleteRange, Compact, and Watch with progress requests
+//! and fragmented responses. Its tests use a third-party client library.
 
 mod service;
 mod store;
@@ -19,33 +19,33 @@
 use service::{KvService, WatchService};
 use store::Store;
 
-/// Counts of the calls that a server answered.
+/// Counts of the calls to a server.
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct CallCounts {
     /// Range calls.
     pub ranges: AtomicU64,
     /// Watches that were created.
     pub watches: AtomicU64,
     /// Progress requests.
     pub progress: AtomicU64,
-    /// Watches that were canceled since their revision had been compacted.
+    /// Watches that were canceled because their revision had been compacted.
     pub compacted: AtomicU64,
 }
 
-/// A server that runs until the runtime ends; clones are the same server.
+/// A server that runs until the runtime shuts down. Clones share its state.
 #[derive(Clone)]
 pub struct EtcdServer {
     store: Arc<Mutex<Store>>,
-    /// The current revision; watches follow it.
+    /// The current revision; its changes wake the watches.
     revision: Arc<tokio::sync::watch::Sender<i64>>,
-    /// Counts of its calls.
-    pub calls: Arc<Calls>,
-    /// Calls need this token, if there is one.
+    /// Counts of the calls to it.
+    pub calls: Arc<CallCounts>,
+    /// Token that calls need, if any.
     token: Arc<Mutex<Option<String>>>,
 }
 
 impl EtcdServer {
-    /// An empty server that compacts at once what is older than so many revisions; 0: nothing.
+    /// An empty server that, with each change, compacts revisions older than the last `retained_revisions`; 0: none.
     pub fn new(cluster_id: u64, retained_revisions: i64) -> Self {
         let store = Store::new(cluster_id, retained_revisions);
         EtcdServer {
@@ -66,11 +66,11 @@
         *required = Some(token.to_string());
     }
 
-    /// Listens on one more free port of loopback: another member of the same cluster.
+    /// Listens on a further free loopback port, as another member of the same cluster.
     ///
     /// # Errors
     ///
-    /// Errors of the socket.
+    /// Socket errors.
     pub async fn listen(&self) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -86,17 +86,17 @@
         self.change(key.as_bytes(), Some(value.as_bytes().to_vec()))
     }
 
-    /// Removes a key; returns the new revision.
+    /// Deletes a key; returns the new revision.
     pub fn delete(&self, key: &str) -> i64 {
         self.change(key.as_bytes(), None)
     }
 
-    /// Drops the history before a revision.
+    /// Discards the history before a revision.
     pub fn compact(&self, revision: i64) {
         self.store().compact(revision);
     }
 
-    /// Replaces the store by that of another cluster: empty, its revisions counted from the start.
+    /// Replaces the store by an empty one of another cluster, whose revisions begin anew.
     pub fn reset(&self, cluster_id: u64) {
         let mut store = self.store();
         *store = Store::new(cluster_id, store.retained_revisions);
--- a/crates/fakes/src/etcd/service.rs
+++ b/crates/fakes/src/etcd/service.rs
@@ -1,4 +1,4 @@
-//! The gRPC services of the server.
+//! The gRPC services of the server: key-value store and watches.
 
 use std::convert::Infallible;
 use std::future::{ready, Future};
@@ -15,7 +15,7 @@
 
 use super::{watch, EtcdServer};
 
-/// Responses of a watch that wait to be sent.
+/// Maximum number of queued responses of a watch.
 const WATCH_BUFFER: usize = 64;
 
 type ResponseFuture =
@@ -29,7 +29,7 @@
     const NAME: &'static str = "etcdserverpb.KV";
 }
 
-/// Answers one unary call with a function of its message.
+/// Answers a unary call with the result of `respond`.
 fn unary<M, R, F>(server: EtcdServer, request: http::Request<Body>, respond: F) -> ResponseFuture
 where
     M: prost::Message + Default + Send + 'static,
@@ -99,7 +99,8 @@
                 Ok(compact(server, &message))
             }),
             _ => {
-                let status = Status::unimplemented("no such call");
+                let status =
+                    Status::unimplemented("method not implemented by the fake etcd server");
                 Box::pin(ready(Ok(status.into_http())))
             }
         }
@@ -115,7 +116,7 @@
 }
 
 impl WatchService {
-    /// Creates a watch; its responses are a stream.
+    /// Starts to serve a watch; returns the stream of its responses.
     fn watch(
         &self,
         request: Request<Streaming<proto::WatchRequest>>,
--- a/crates/fakes/src/etcd/store.rs
+++ b/crates/fakes/src/etcd/store.rs
@@ -1,4 +1,4 @@
-//! The store: keys, their history, and compaction. Does no I/O.
+//! The key-value store with its history and compaction. It does no I/O.
 
 use std::collections::BTreeMap;
 
@@ -8,9 +8,9 @@
 pub(super) struct Store {
     pub(super) cluster_id: u64,
     pub(super) revision: i64,
-    /// Lowest revision whose history is there.
+    /// Lowest revision whose history is retained.
     pub(super) compacted: i64,
-    /// How many revisions of history are retained; 0: all.
+    /// Number of revisions whose history is retained; 0: all.
     pub(super) retained_revisions: i64,
     keys: BTreeMap<Vec<u8>, proto::KeyValue>,
     history: Vec<proto::Event>,
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Writes a key, or removes it; returns the new revision.
+    /// Writes a key, or deletes it if the value is `None`; returns the new revision.
     pub(super) fn change(&mut self, key: &[u8], value: Option<Vec<u8>>) -> i64 {
         self.revision += 1;
         let event = match value {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Drops the history before a revision.
+    /// Discards the history before a revision.
     pub(super) fn compact(&mut self, revision: i64) {
         if revision > self.compacted {
             self.compacted = revision;
@@ -123,7 +123,7 @@
         })
     }
 
-    /// The keys as they were at a revision: each as it was before its first change after it.
+    /// The keys as of a revision: later changes are undone, the latest first.
     fn keys_at(&self, revision: i64) -> BTreeMap<Vec<u8>, proto::KeyValue> {
         let mut keys = self.keys.clone();
         let later = |event: &&proto::Event| mod_revision(event) > Some(revision);
@@ -137,20 +137,20 @@
         keys
     }
 
-    /// The events from a revision on that a watch follows.
+    /// Events from a revision on whose keys are in the watch's range.
     pub(super) fn events(
         &self,
         watch: &proto::WatchCreateRequest,
         from_revision: i64,
     ) -> Vec<proto::Event> {
-        let followed = |event: &&proto::Event| {
+        let watched = |event: &&proto::Event| {
             event.kv.as_ref().is_some_and(|changed| {
                 changed.mod_revision >= from_revision
                     && in_range(&changed.key, &watch.key, &watch.range_end)
             })
         };
-        let mut events: Vec<_> = self.history.iter().filter(followed).cloned().collect();
-        // Previous values are sent only where they are asked for.
+        let mut events: Vec<_> = self.history.iter().filter(watched).cloned().collect();
+        // Previous values are sent only if the watch requests them.
         if !watch.prev_kv {
             for event in &mut events {
                 event.prev_kv = None;
--- a/crates/fakes/src/etcd/watch.rs
+++ b/crates/fakes/src/etcd/watch.rs
@@ -1,4 +1,4 @@
-//! One watch: events as they happen, from the requested revision on.
+//! A watch: sends the events from the requested revision on, and new ones as they happen.
 
 use std::sync::atomic::Ordering;
 
@@ -9,27 +9,28 @@
 
 use super::EtcdServer;
 
-/// Most events of one response, where the client accepts fragmented ones.
+/// Maximum number of events per response if the client accepts fragmented responses.
 const MAX_FRAGMENT_EVENTS: usize = 16;
 
-/// Where the responses of a watch go.
+/// Channel for the responses of a watch.
 pub(super) type Responses = mpsc::Sender<Result<proto::WatchResponse, Status>>;
 
 /// The client closed the stream, or the watch was canceled.
 struct Ended;
 
-/// A watch that was created.
+/// A watch after its creation.
 struct Watch {
     server: EtcdServer,
     create: proto::WatchCreateRequest,
     requests: Streaming<proto::WatchRequest>,
     responses: Responses,
     revision: watch::Receiver<i64>,
-    /// First revision that was not sent yet.
+    /// Lowest revision whose events have not been sent.
     next_revision: i64,
 }
 
-/// Serves a stream of watch requests, of which the first creates the watch.
+/// Serves a stream of watch requests. The first create request creates the watch; requests before it, and further create
+/// requests, are ignored.
 pub(super) async fn serve(
     server: EtcdServer,
     mut requests: Streaming<proto::WatchRequest>,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Sends the events that were not sent yet, or cancels the watch where they have been compacted.
+    /// Sends the events that have not been sent, or cancels the watch if some of them have been compacted.
     async fn send_events(&mut self) -> Result<(), Ended> {
         let (events, compacted, header) = {
             let store = self.server.store();
@@ -108,13 +109,14 @@
             self.send(canceled).await?;
             return Err(Ended);
         }
-        // Without fragments all events go together, so that no response ends within a revision.
-        let size = if self.create.fragment {
+        // A client that does not accept fragments gets all events in one response, so that no response ends within a
+        // revision.
+        let max_events = if self.create.fragment {
             MAX_FRAGMENT_EVENTS
         } else {
             events.len().max(1)
         };
-        let fragments = events.chunks(size);
+        let fragments = events.chunks(max_events);
         let last = fragments.len().saturating_sub(1);
         for (index, fragment) in fragments.enumerate() {
             let response = proto::WatchResponse {
@@ -128,7 +130,7 @@
         Ok(())
     }
 
-    /// Answers a progress request, unless events wait to be sent: the loop sends these first.
+    /// Answers a progress request. If events have not been sent, there is no answer: the caller's loop sends these instead.
     async fn send_progress(&self) -> Result<(), Ended> {
         let calls = &self.server.calls;
         calls.progress.fetch_add(1, Ordering::Relaxed);
--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -1,46 +1,47 @@
-//! As much of HTTP/1.1 as the fakes need: one message at a time, written by hand, so that any byte can be delayed.
+//! The part of HTTP/1.1 that the fakes need: one message at a time, without an HTTP library, so that a fake can delay any
+//! byte.
 
 use std::io;
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Longest head that is read: more than the daemon sends.
+/// Maximum size of a head; the daemon sends smaller ones.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Most headers of a head that is read.
+/// Maximum number of headers.
 const MAX_HEADERS: usize = 64;
-/// Bytes read at once.
+/// Maximum number of bytes per read.
 const CHUNK_BYTES: usize = 8192;
 
 /// The first line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartLine {
-    /// Of a request.
+    /// Request line.
     Request {
-        /// Its method.
+        /// Method.
         method: String,
-        /// Its target: path and query.
+        /// Request target: path and query.
         target: String,
     },
-    /// Of a response.
+    /// Status line.
     Response {
-        /// Its status, in digits.
+        /// Status code, in digits.
         status: String,
     },
 }
 
-/// A message that was read.
+/// A request or a response.
 #[derive(Debug)]
 pub struct Message {
-    /// Its first line.
+    /// Request line or status line.
     pub start_line: StartLine,
-    /// Its headers, with names in lower case.
+    /// Headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Of the length in `Content-Length`; chunked bodies are not read.
+    /// Body of the length in `Content-Length`; chunked bodies are not read.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Status of a response, in digits; empty for a request.
+    /// Status code of a response, in digits; empty for a request.
     pub fn status(&self) -> &str {
         match &self.start_line {
             StartLine::Response { status } => status,
@@ -56,41 +57,42 @@
         }
     }
 
-    /// The first header of that name.
+    /// Value of the first header with this name, which is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut headers = self.headers.iter();
         let (_, value) = headers.find(|(header, _)| header == name)?;
         Some(value)
     }
 
-    /// An integer in the query of a request.
+    /// Integer parameter in the query of a request.
     pub fn query(&self, name: &str) -> Option<u64> {
         let (_, query) = self.target().split_once('?')?;
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find_map(|(key, value)| (key == name).then(|| value.parse().ok())?)
     }
 
-    /// True where the sender closes the connection after it.
+    /// Whether the sender closes the connection after this message.
     pub fn closes(&self) -> bool {
         self.header("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
-/// Which kind of message is read.
+/// Kind of message to read.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// From a client.
+    /// Request, from a client.
     Request,
-    /// From a server.
+    /// Response, from a server.
     Response,
 }
 
-/// Reads one message; `None` where the stream ended before its first byte. `unread` holds what was read beyond it.
+/// Reads one message; `None` if the stream ended before its first byte. `unread` keeps bytes that were read beyond it, for
+/// the next call.
 ///
 /// # Errors
 ///
-/// Errors of the stream, its end within a message, and a message that cannot be parsed.
+/// I/O errors, the end of the stream within a message, and messages that cannot be parsed.
 pub async fn read(
     stream: &mut (impl AsyncRead + Unpin),
     unread: &mut Vec<u8>,
@@ -102,7 +104,9 @@
             break parsed;
         }
         if unread.len() > MAX_HEAD_BYTES {
-            return Err(io::Error::other("a head without end"));
+            return Err(io::Error::other(format!(
+                "message head is longer than {MAX_HEAD_BYTES} bytes"
+            )));
         }
         match stream.read(&mut chunk).await? {
             0 if unread.is_empty() => return Ok(None),
@@ -123,7 +127,7 @@
     Ok(Some(message))
 }
 
-/// Parses a head that is complete; returns its length too.
+/// Parses a head. Returns the message without its body, and the length of the head; `None` if the head is incomplete.
 fn parse(bytes: &[u8], kind: Kind) -> io::Result<Option<(Message, usize)>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let invalid = |error: httparse::Error| io::Error::other(error.to_string());
--- a/crates/fakes/src/instance.rs
+++ b/crates/fakes/src/instance.rs
@@ -1,4 +1,4 @@
-//! A fake limit server: slots, a random processing time, and responses as its script says.
+//! A fake endpoint with limited concurrency, random processing times, and responses that follow a script.
 
 use std::io;
 use std::net::SocketAddr;
@@ -25,39 +25,39 @@
     ByteByByte,
     /// The head at once, the body one byte at a time.
     BodyByteByByte,
-    /// The head, and then nothing.
+    /// Only the head; the connection stays open.
     HeadOnly,
-    /// All but the last byte, and then nothing.
+    /// All but the last byte; the connection stays open.
     AllButLastByte,
-    /// The head and the first byte of the body, a pause, and the rest at once.
+    /// The head and the first byte of the body at once, and the rest after a pause.
     PauseInBody(Duration),
-    /// Chunked, with a byte in each chunk.
+    /// In chunks of one byte.
     ChunkPerByte,
 }
 
 /// Responses that are sent differently from the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Exception {
-    /// One response in so many, at random.
+    /// One response in this many is sent differently, at random.
     pub one_in: u32,
-    /// How these are sent.
+    /// How it is sent.
     pub behavior: ResponseBehavior,
 }
 
-/// What a limit server does.
+/// Behavior of a fake endpoint.
 #[derive(Clone, Debug)]
 pub struct Script {
     /// Seed of all random numbers.
     pub seed: u64,
     /// Processing time of a request.
     pub processing_time: RangeInclusive<Duration>,
-    /// Requests processed at once; others wait.
+    /// Number of requests processed concurrently; others wait.
     pub slots: usize,
-    /// Bytes of a response's body.
+    /// Size of a response's body.
     pub body_bytes: usize,
-    /// Responses that are not sent completely at once.
+    /// Responses that are sent differently from [`ResponseBehavior::Complete`], if any.
     pub exception: Option<Exception>,
-    /// Interval of the bytes where they are sent one by one.
+    /// Interval between bytes that are sent one at a time.
     pub byte_interval: Duration,
 }
 
@@ -81,7 +81,7 @@
     pub requests: AtomicU64,
     /// Responses that were sent completely.
     pub responses: AtomicU64,
-    /// Connections that are open now.
+    /// Connections that are currently open.
     pub connections: AtomicUsize,
     /// Responses whose connection was closed before they were complete.
     pub aborted_responses: AtomicU64,
@@ -89,7 +89,7 @@
 }
 
 impl RecordedRequests {
-    /// When the last request arrived completely.
+    /// Time at which the last request arrived completely.
     pub fn last_request_at(&self) -> Option<Instant> {
         *self
             .last_request_at
@@ -107,21 +107,21 @@
     }
 }
 
-/// A fake limit server that runs until the runtime ends.
+/// A fake endpoint that runs until the runtime shuts down.
 pub struct Instance {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Counts of what crossed its sockets.
+    /// Counts of its requests, responses and connections.
     pub recorded: Arc<RecordedRequests>,
     script: Arc<Mutex<Script>>,
 }
 
 impl Instance {
-    /// Starts one on a free port of loopback.
+    /// Starts an endpoint on a free loopback port.
     ///
     /// # Errors
     ///
-    /// Errors of the socket.
+    /// Socket errors.
     pub async fn start(script: Script) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -140,13 +140,13 @@
         Ok(instance)
     }
 
-    /// Changes the script for the requests to come.
+    /// Changes the script for later requests.
     pub fn change_script(&self, change: impl FnOnce(&mut Script)) {
         change(&mut self.script.lock().unwrap_or_else(PoisonError::into_inner));
     }
 }
 
-/// What the connections of an instance share.
+/// State shared by the connections of an instance.
 #[derive(Clone)]
 struct Server {
     script: Arc<Mutex<Script>>,
@@ -207,7 +207,7 @@
     }
 }
 
-/// The body names the request that it answers, so that a client notices a response to another one.
+/// A body that begins with the request's correlation id, so that clients can detect a response to another request.
 fn body(request: &Message, length: usize) -> Vec<u8> {
     let mut body = request
         .header("x-correlation-id")
@@ -277,11 +277,13 @@
     Ok(())
 }
 
-/// Sends nothing more until the other side closes the connection.
+/// Waits until the other side closes the connection.
 async fn wait_for_close(stream: &mut TcpStream) -> io::Result<()> {
     let mut byte = [0];
     match stream.peek(&mut byte).await? {
         0 => Err(io::ErrorKind::UnexpectedEof.into()),
-        _ => Err(io::Error::other("a request behind an incomplete response")),
+        _ => Err(io::Error::other(
+            "data received before the response was complete",
+        )),
     }
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,8 +1,9 @@
-//! Fakes of the daemon's peers, written from the protocols' descriptions alone: nothing here links the daemon's code.
+//! Fakes of the clients and services that the daemon talks to, written from the descriptions of the protocols. They do not
+//! use the daemon's code.
 //!
-//! Each fake speaks bytes on sockets by a script with a seed, counts what crossed them, and listens on loopback only.
-//! The program `applewall-fake` starts one, so that a person can try the daemon by hand; the programs `measure-*` measure
-//! the daemon with them and share the harness of [`measurement`].
+//! Servers listen on loopback only and count what they receive. Fakes with random behavior take a seed. The program
+//! `applewall-fake` runs a single fake, for manual tests of the daemon. The `measure-*` programs measure the daemon
+//! against fakes and share the harness in [`measurement`].
 
 pub mod clients;
 pub mod consul;
--- a/crates/fakes/src/measurement.rs
+++ b/crates/fakes/src/measurement.rs
@@ -1,10 +1,10 @@
 //! The harness of the measurement programs: arguments, table, verdict and exit status.
 //!
 //! A program describes itself ([`Program`]), defines its options ([`Options`]) and passes [`run`] a function that measures
-//! and returns a [`Verdict`]. Exit status 0: every goal was met; 1: one was missed. Where nothing was measured, since an
-//! argument is wrong or the measurement failed, the status is [`Program::error_status`]. The measurements with fakes alone
-//! use [`CommonOptions`] and [`healthy_clients`]; those with trials of many processes (`fault-testbed`) have options of
-//! their own.
+//! and returns a [`Verdict`]. Exit status 0: every goal was met; 1: a goal was missed. If nothing was measured, because an
+//! argument is invalid or the measurement failed, the status is [`Program::error_status`]. Measurements that need only
+//! fakes use [`CommonOptions`] and [`healthy_clients`]; those that run trials of many processes (`fault-testbed`) have their
+//! own options.
 
 use std::fmt::Display;
 use std::future::Future;
@@ -18,37 +18,37 @@
 
 use crate::clients::HealthyClients;
 
-/// Time within which clients want a response.
+/// Latency objective of the requests.
 pub const LATENCY_OBJECTIVE: Duration = Duration::from_millis(800);
 /// Time after which clients give up on a response.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Customers of the healthy clients.
+/// Number of customers of the healthy clients.
 const CUSTOMERS: u64 = 20;
 
-/// What the harness has to know about a measurement program.
+/// Description of a measurement program.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
-    /// Its name; error messages begin with it.
+    /// Name, with which error messages begin.
     pub name: &'static str,
-    /// The form of its command line.
+    /// Syntax of the command line.
     pub usage: &'static str,
-    /// First words of the last line.
+    /// Labels at the beginning of the last line.
     pub verdict_labels: VerdictLabels,
-    /// Exit status where nothing was measured.
+    /// Exit status if nothing was measured.
     pub error_status: u8,
 }
 
-/// First words of a program's last line. Journals and scripts compare that line across versions.
+/// Labels at the beginning of a program's last line. Journals and scripts compare that line across versions.
 #[derive(Clone, Copy, Debug)]
 pub struct VerdictLabels {
-    /// Where every goal was met.
+    /// If every goal was met.
     pub met: &'static str,
-    /// Where a goal was missed.
+    /// If a goal was missed.
     pub missed: &'static str,
 }
 
 impl Program {
-    /// A measurement with fakes alone.
+    /// A measurement that needs only fakes.
     pub const fn with_fakes(name: &'static str, usage: &'static str) -> Self {
         Program {
             name,
@@ -69,18 +69,18 @@
 
 /// The options of a measurement program. A value holds the defaults until the command line is read.
 pub trait Options {
-    /// Reads the value of an option; false where there is no option of this name.
+    /// Reads the value of an option; returns false if there is no option of this name.
     ///
     /// # Errors
     ///
-    /// The value is missing or wrong.
+    /// The value is missing or invalid.
     fn set(&mut self, name: &str, parser: &mut Parser) -> Result<bool, lexopt::Error>;
 }
 
-/// Options of all measurements with fakes alone: `--program FILE`, `--seed N`.
+/// Options of all measurements that need only fakes: `--program FILE`, `--seed N`.
 #[derive(Clone, Debug)]
 pub struct CommonOptions {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub program: PathBuf,
     /// Seed of all random numbers.
     pub seed: u64,
@@ -106,12 +106,12 @@
     }
 }
 
-/// What a command line requests.
+/// The action that a command line requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invocation {
-    /// To measure with the options that were read.
+    /// Measure with the options that were read.
     Measure,
-    /// To print the form of the command line.
+    /// Print the syntax of the command line.
     Help,
 }
 
@@ -119,7 +119,7 @@
 ///
 /// # Errors
 ///
-/// The first argument that is unknown or wrong.
+/// The first argument that is unknown or invalid.
 pub fn parse(options: &mut impl Options, mut parser: Parser) -> Result<Invocation, lexopt::Error> {
     while let Some(argument) = parser.next()? {
         let name = match argument {
@@ -136,25 +136,25 @@
     Ok(Invocation::Measure)
 }
 
-/// Reads a duration as an integer of seconds.
+/// Reads a duration in whole seconds.
 ///
 /// # Errors
 ///
-/// The value is missing or no number.
+/// The value is missing or not an integer.
 pub fn seconds(parser: &mut Parser) -> Result<Duration, lexopt::Error> {
     Ok(Duration::from_secs(parser.value()?.parse()?))
 }
 
-/// The result of a measurement; its last line.
+/// The result of a measurement, which is printed as the last line.
 #[derive(Clone, Debug)]
 pub struct Verdict {
     /// Every goal was met.
     pub met: bool,
-    /// The figures that the goals are about.
+    /// The figures on which the goals are set.
     pub figures: String,
 }
 
-/// Runs a measurement program with the options of its command line, where it names none the defaults.
+/// Runs a measurement program. `options` holds the defaults of what the command line does not set.
 pub fn run<O: Options, E: Display>(
     program: &Program,
     mut options: O,
@@ -190,7 +190,7 @@
     tokio::runtime::Runtime::new()?.block_on(measurement)
 }
 
-/// Prints the head of a table with these columns.
+/// Prints the header of a table with these columns.
 pub fn print_head(columns: &[&str]) {
     println!("| {} |", columns.join(" | "));
     println!("|{}", "---|".repeat(columns.len()));
@@ -201,22 +201,22 @@
     println!("| {} |", cells.join(" | "));
 }
 
-/// Bytes in MB, as tables show them.
+/// Converts bytes into MB of 2^20 bytes, as tables show them.
 pub fn megabytes(bytes: u64) -> f64 {
     bytes as f64 / f64::from(1 << 20)
 }
 
-/// Processor time per request in milliseconds, as tables show it.
+/// CPU time per request in milliseconds, as tables show it.
 pub fn cpu_ms_per_request(cpu_time: Duration, requests: u64) -> f64 {
     cpu_time.as_secs_f64() * 1e3 / requests.max(1) as f64
 }
 
-/// Number of cores of this machine, 0 where it is unknown.
+/// Number of CPU cores of this machine; 0 if unknown.
 pub fn cores() -> usize {
     std::thread::available_parallelism().map_or(0, usize::from)
 }
 
-/// The healthy clients of a measurement, which reuse all connections.
+/// The healthy clients of a measurement; all of them reuse connections.
 pub fn healthy_clients(
     address: SocketAddr,
     requests_per_second: f64,
--- a/crates/fakes/src/process_usage.rs
+++ b/crates/fakes/src/process_usage.rs
@@ -1,6 +1,6 @@
-//! What a process of this machine has used, by `/proc`.
+//! Resource usage of local processes, read from `/proc`.
 
-/// The highest resident memory of a process in bytes; `None` where there is no such process.
+/// Peak resident memory of a process in bytes, or `None` if there is no such process.
 pub fn peak_memory_bytes(process_id: u32) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{process_id}/status")).ok()?;
     let peak = status
--- a/crates/fakes/src/tcp_proxy.rs
+++ b/crates/fakes/src/tcp_proxy.rs
@@ -1,5 +1,5 @@
-//! A TCP proxy with faults: between a client and a server, it forwards bytes, breaks connections, falls silent or
-//! refuses new ones.
+//! A TCP proxy that injects faults between clients and a server: it closes connections, stops forwarding, or refuses new
+//! connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,14 +11,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes forwarded at once.
+/// Maximum number of bytes forwarded at once.
 const CHUNK_BYTES: usize = 64 * 1024;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct State {
     /// Connections of an earlier generation are closed.
     generation: u64,
-    /// Nothing is forwarded, either way; connections stay open.
+    /// Nothing is forwarded in either direction; connections stay open.
     silent: bool,
     /// New connections are closed at once.
     refusing: bool,
@@ -32,20 +32,20 @@
 }
 
 impl ConnectionCounts {
-    /// Connections that were accepted so far.
+    /// Connections accepted so far, without refused ones.
     pub fn accepted(&self) -> u64 {
         self.accepted.load(Ordering::Relaxed)
     }
 
-    /// Connections that are open now.
+    /// Connections that are currently open.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 }
 
-/// A proxy that runs until the runtime ends.
+/// A proxy that runs until the runtime shuts down.
 pub struct TcpProxy {
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
     state: watch::Sender<State>,
     /// Counts of its connections.
@@ -53,11 +53,11 @@
 }
 
 impl TcpProxy {
-    /// Starts a proxy of a server on a free port of loopback.
+    /// Starts a proxy for `server` on a free loopback port.
     ///
     /// # Errors
     ///
-    /// Errors of the socket.
+    /// Socket errors.
     pub async fn start(server: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -85,12 +85,12 @@
         self.state.send_modify(|state| state.generation += 1);
     }
 
-    /// Whether it stops forwarding, while open connections stay open.
+    /// Stops or resumes forwarding; open connections stay open.
     pub fn set_silent(&self, silent: bool) {
         self.state.send_modify(|state| state.silent = silent);
     }
 
-    /// Whether it closes new connections at once.
+    /// Sets whether new connections are closed at once.
     pub fn set_refusing(&self, refusing: bool) {
         self.state.send_modify(|state| state.refusing = refusing);
     }
@@ -116,7 +116,7 @@
     }
 }
 
-/// Forwards one connection until either side ends it, or it is disconnected.
+/// Forwards one connection until either side closes it, or [`TcpProxy::disconnect`].
 async fn forward(
     client: TcpStream,
     server: SocketAddr,
@@ -145,7 +145,7 @@
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let length = from.read(&mut chunk).await?;
-        // What was read while it is silent waits here: TCP retransmits it once the network works again.
+        // Bytes read while the proxy is silent are held back and forwarded later, as TCP retransmits them after an outage.
         let _ = state.wait_for(|state| !state.silent).await;
         if length == 0 {
             return Ok(());
--- a/crates/fakes/src/wait.rs
+++ b/crates/fakes/src/wait.rs
@@ -1,25 +1,26 @@
-//! Waiting for an event, never for a duration.
+//! Waits for conditions, so that tests need no sleeps of a fixed length.
 
 use std::time::Duration;
 
-/// Time after which an event counts as failed to happen: much longer than any event of a test takes.
+/// Time after which a wait fails; much longer than anything that a test waits for.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// Interval at which a condition is polled: short compared to what tests measure.
+/// Interval at which a condition is polled; short compared to the times that tests measure.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Waits until a condition holds.
 ///
 /// # Panics
 ///
-/// It does not hold within [`TEST_TIMEOUT`]; `event` is in the message.
-pub async fn wait_until(event: &str, mut holds: impl FnMut() -> bool) {
+/// If it does not hold within [`TEST_TIMEOUT`]; the message contains `description`.
+pub async fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let wait = async {
-        while !holds() {
+        while !condition() {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
     assert!(
         tokio::time::timeout(TEST_TIMEOUT, wait).await.is_ok(),
-        "never: {event}"
+        "timed out after {} s waiting for: {description}",
+        TEST_TIMEOUT.as_secs()
     );
 }
--- a/crates/fakes/tests/etcd.rs
+++ b/crates/fakes/tests/etcd.rs
@@ -1,4 +1,4 @@
-//! The fake etcd server, driven by a client library of third parties: it speaks the protocol.
+//! Checks with a third-party client library that the fake etcd server implements the protocol.
 
 use applewall_fakes::etcd::EtcdServer;
 use applewall_fakes::tcp_proxy::TcpProxy;
@@ -90,7 +90,7 @@
     while stream.message().await.unwrap().unwrap().events().is_empty() {}
     proxy.set_silent(true);
     let revision = server.put("/m/a", "2");
-    // What is written while the proxy is silent arrives afterwards.
+    // A change that is written while the proxy is silent arrives afterwards.
     proxy.set_silent(false);
     let late = stream.message().await.unwrap().unwrap();
     assert_eq!(late.events()[0].kv().unwrap().mod_revision(), revision);
