--- a/crates/fakes/src/bin/applewall-fake.rs
+++ b/crates/fakes/src/bin/applewall-fake.rs
@@ -1,4 +1,5 @@
-//! Runs a single fake for manual tests of the daemon. Prints its address, and exits after the time that is set.
+//! Runs a single fake for manual tests of the daemon, for the time set by `--seconds` (600 by default). Servers print their
+//! address.
 
 use std::io;
 use std::net::SocketAddr;
@@ -109,10 +110,10 @@
             ..Script::default()
         })
         .await?;
-        println!("instance on {}", instance.address);
+        println!("endpoint listening on {}", instance.address);
         tokio::time::sleep(self.duration).await;
         let requests = instance.recorded.requests.load(Ordering::Relaxed);
-        println!("requests {requests}");
+        println!("requests received: {requests}");
         Ok(())
     }
 
@@ -125,7 +126,7 @@
         let targets = self.positional.iter().enumerate().map(entry);
         let targets = targets.collect::<Result<_, Error>>()?;
         let discovery = Discovery::start(targets).await?;
-        println!("discovery on {}", discovery.address);
+        println!("discovery listening on {}", discovery.address);
         tokio::time::sleep(self.duration).await;
         Ok(())
     }
@@ -135,9 +136,12 @@
         for (key, value) in self.pairs()? {
             server.put(key, value);
         }
-        println!("etcd on {}", server.listen().await?);
+        println!("etcd listening on {}", server.listen().await?);
         tokio::time::sleep(self.duration).await;
-        println!("reads {}", server.calls.ranges.load(Ordering::Relaxed));
+        println!(
+            "range calls: {}",
+            server.calls.ranges.load(Ordering::Relaxed)
+        );
         Ok(())
     }
 
@@ -146,7 +150,7 @@
         for (key, value) in self.pairs()? {
             agent.put(key, Some(value));
         }
-        println!("consul on {}", agent.address);
+        println!("consul listening on {}", agent.address);
         tokio::time::sleep(self.duration).await;
         Ok(())
     }
@@ -170,7 +174,7 @@
         };
         clients.run(counts.clone()).await;
         let closed = counts.closed_by_daemon.load(Ordering::Relaxed);
-        println!("ended by the other side {closed}");
+        println!("connections closed by the daemon: {closed}");
         Ok(())
     }
 
--- a/crates/fakes/src/bin/measure-registry.rs
+++ b/crates/fakes/src/bin/measure-registry.rs
@@ -294,7 +294,8 @@
     let progress_per_second = progress / started.elapsed().as_secs_f64();
     let outcomes = clients.await.map_err(io::Error::other)?;
     println!(
-        "commands: {} asked, {} served, {} refused, {} failed, {} lost; {progress_per_second:.1} proofs a second from one ingress",
+        "requests: {} sent, {} served, {} rejected, {} failed, {} lost; {progress_per_second:.1} progress requests/s from one \
+         ingress",
         outcomes.sent, outcomes.served, outcomes.rejected, outcomes.failed, outcomes.lost
     );
     let late = times.iter().filter(|time| **time > DRAIN_LIMIT).count();
--- a/crates/fakes/src/bin/measure-service/main.rs
+++ b/crates/fakes/src/bin/measure-service/main.rs
@@ -261,7 +261,7 @@
 
 async fn measure(options: ServiceOptions) -> io::Result<Verdict> {
     println!(
-        "100 commands a second for {} s, three in ten on new connections, {INSTANCES} instances; {} cores",
+        "100 requests/s for {} s, three in ten on new connections, {INSTANCES} endpoints; {} cores",
         options.duration.as_secs(),
         cores()
     );
@@ -286,7 +286,7 @@
     rows.iter().for_each(Row::print);
     let long = measure_long_responses(&options).await?;
     println!(
-        "long answers: {} of {LONG_RESPONSES} of {} MiB came whole in {:.1} s, peak {:.1} MB",
+        "long responses: {} of {LONG_RESPONSES} of {} MiB complete after {:.1} s, peak memory {:.1} MB",
         long.complete,
         LONG_BODY_BYTES >> 20,
         long.elapsed.as_secs_f64(),
--- a/crates/fakes/src/bin/measure-slow-peers.rs
+++ b/crates/fakes/src/bin/measure-slow-peers.rs
@@ -300,8 +300,8 @@
 
 async fn measure(options: SlowPeerOptions) -> io::Result<Verdict> {
     println!(
-        "healthy: 100 commands a second for {} s, half on new connections; answers of {BODY_BYTES} bytes from \
-         {INSTANCES} instances; slow readers: a byte each 100 ms, back 500 ms after a cut; {} cores",
+        "healthy clients: 100 requests/s for {} s, half on new connections; responses of {BODY_BYTES} bytes from \
+         {INSTANCES} endpoints; slow readers: one byte every 100 ms, reconnect 500 ms after a disconnect; {} cores",
         options.duration.as_secs(),
         cores()
     );
