--- a/tests/exchange/connections.rs
+++ b/tests/exchange/connections.rs
@@ -1,4 +1,4 @@
-//! The parties of an exchange other than the program: endpoints and discovery that listen, clients, peers.
+//! The sockets of an exchange outside the program: those of endpoints, discovery, clients and peers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, BufReader, Write};
@@ -12,11 +12,11 @@
 
 const LISTENERS: [&str; 3] = ["s1", "discovery", "discovery2"];
 const DATAGRAM_SOCKETS: [&str; 3] = ["peer0", "peer1", "stranger"];
-/// A connection attempt that takes this long finds the backlog full.
+/// After this time, a connection attempt has found a full backlog.
 const FULL_BACKLOG_TIMEOUT: Duration = Duration::from_millis(200);
-/// Interval of looks at the kernel's list of connections.
+/// Interval of reading the kernel's list of connections.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// State of a connection in `/proc/net/tcp` that is not established yet.
+/// State in `/proc/net/tcp` of a connection that is not established yet.
 const SYN_SENT: &str = "02";
 /// Longest datagram that the program sends.
 const MAX_DATAGRAM_BYTES: usize = 256;
@@ -32,7 +32,7 @@
 }
 
 impl Connections {
-    /// All listeners and datagram sockets, with their addresses.
+    /// Opens all listeners and datagram sockets, and adds their addresses.
     pub(crate) fn open(addresses: &mut Addresses) -> Self {
         let mut connections = Connections::default();
         for name in LISTENERS {
@@ -57,17 +57,17 @@
     pub(crate) fn accept(&mut self, name: &str, from: &str) {
         let listener = self.listeners[from].try_clone().expect("a copy");
         let (sender, accepted) = channel();
-        // By a thread, since accepting has no time-out.
+        // In a thread, since `accept` has no timeout.
         std::thread::spawn(move || sender.send(listener.accept().expect("accepted").0));
         let stream = accepted.recv_timeout(STEP_TIMEOUT);
         let stream = stream.unwrap_or_else(|_| {
             let received = self.unread();
-            panic!("expected a connection {name} at {from}; unread on the others: {received:?}")
+            panic!("expected connection {name} at {from}; unread on the others: {received:?}")
         });
         self.insert(name, stream);
     }
 
-    /// What has arrived on each connection and was not read by a step.
+    /// Bytes received on each connection that no step has read.
     fn unread(&mut self) -> BTreeMap<String, String> {
         let unread = |(name, stream): (&String, &mut BufReader<TcpStream>)| {
             let _ = stream.get_ref().set_nonblocking(true);
@@ -96,21 +96,21 @@
         self.fillers.extend(std::iter::from_fn(connect));
     }
 
-    /// Accepts the connections that fill a backlog, and closes them.
+    /// Accepts and closes the connections that fill a backlog.
     pub(crate) fn free_backlog(&mut self, name: &str) {
         for filler in self.fillers.drain(..) {
             let (_, from) = self.listeners[name].accept().expect("accepted");
             let expected = filler.local_addr().expect("its address");
             assert_eq!(
                 from, expected,
-                "a connection in the backlog of {name} that does not fill it"
+                "a connection in the backlog of {name} that was not made to fill it"
             );
         }
     }
 
     pub(crate) fn send(&mut self, name: &str, text: &str) {
         let written = self.stream(name).get_mut().write_all(text.as_bytes());
-        written.unwrap_or_else(|error| panic!("{name}: not written: {error}"));
+        written.unwrap_or_else(|error| panic!("cannot write to {name}: {error}"));
     }
 
     pub(crate) fn receive(&mut self, name: &str) -> String {
@@ -134,7 +134,7 @@
 
     fn stream(&mut self, name: &str) -> &mut BufReader<TcpStream> {
         let stream = self.streams.get_mut(name);
-        stream.unwrap_or_else(|| panic!("there is no connection {name}"))
+        stream.unwrap_or_else(|| panic!("no connection {name}"))
     }
 
     pub(crate) fn send_datagram(&self, name: &str, text: &str, to: SocketAddr) {
@@ -153,7 +153,7 @@
     }
 }
 
-/// Waits until a connection to this address is attempted that the full backlog does not let be established.
+/// Waits for a connection attempt to this address that the full backlog blocks.
 pub(crate) fn await_blocked_connect(address: SocketAddr) {
     let port = format!(":{:04X}", address.port());
     let is_blocked = |line: &str| {
--- a/tests/exchange/message.rs
+++ b/tests/exchange/message.rs
@@ -1,4 +1,4 @@
-//! HTTP messages as an exchange sends and notes them.
+//! HTTP messages as an exchange sends and records them.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, ErrorKind, Read};
@@ -6,17 +6,18 @@
 
 use super::redaction::{redact_header, Addresses};
 
-/// The note for the end of a connection.
-const END: &str = "  (end)\n";
-/// Bodies from this length on are noted by their length alone.
+/// Recorded at the end of a connection.
+const CONNECTION_END: &str = "  (end)\n";
+/// Of a body of this length or more, only the length is recorded.
 const MIN_LONG_BODY_BYTES: usize = 200;
-const USUAL_REQUEST: &str = "GET /api HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: @id\r\n\
+const DEFAULT_REQUEST: &str =
+    "GET /api HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: @id\r\n\
     X-Service-Class: limit-check\r\nX-Contract: shop\r\nX-Client-Id: 00000000b4d65521\r\n\
     X-Time-Left-Ms: 3000\r\nX-Metering: units=1,spread=2,first=0\r\n";
 
-/// The usual request with this id; `header` replaces the one of its name or is added, where it is not empty.
-pub(crate) fn usual_request(id: &str, header: &str) -> String {
-    let mut head = USUAL_REQUEST.replace("@id", id);
+/// The default request with this id. A `header` that is not empty replaces the one of its name, or is added.
+pub(crate) fn default_request(id: &str, header: &str) -> String {
+    let mut head = DEFAULT_REQUEST.replace("@id", id);
     if let Some((name, _)) = header.split_once(": ") {
         head = head
             .lines()
@@ -28,7 +29,7 @@
     head + "\r\n"
 }
 
-/// The bytes that the lines below a step stand for.
+/// Expands the lines below a step to the bytes to send.
 pub(crate) fn expand(lines: &[String], addresses: &Addresses) -> String {
     lines
         .iter()
@@ -47,15 +48,17 @@
     }
 }
 
-/// Reads one message and notes it, its body after its head.
+/// Reads one message; returns its record, the body after the head.
 pub(crate) fn read(name: &str, stream: &mut BufReader<TcpStream>) -> String {
-    let (mut note, mut length) = (String::new(), 0);
+    let (mut record, mut length) = (String::new(), 0);
     loop {
         let mut line = String::new();
         match stream.read_line(&mut line) {
-            Ok(0) => return END.into(),
-            Err(error) if error.kind() == ErrorKind::ConnectionReset => return END.into(),
-            Err(error) => panic!("a message on {name} is not read: {error}"),
+            Ok(0) => return CONNECTION_END.into(),
+            Err(error) if error.kind() == ErrorKind::ConnectionReset => {
+                return CONNECTION_END.into()
+            }
+            Err(error) => panic!("cannot read a message from {name}: {error}"),
             Ok(_) => {}
         }
         let line = line.trim_end();
@@ -65,15 +68,15 @@
         if let Some(value) = line.strip_prefix("content-length: ") {
             length = value.parse().expect("a length");
         }
-        writeln!(note, "  {}", redact_header(line)).expect("noted");
+        writeln!(record, "  {}", redact_header(line)).expect("recorded");
     }
     let mut body = Vec::new();
     let mut stream = stream.take(length as u64);
     stream.read_to_end(&mut body).expect("a body is read");
-    note + &body_note(body, length)
+    record + &body_record(body, length)
 }
 
-fn body_note(body: Vec<u8>, length: usize) -> String {
+fn body_record(body: Vec<u8>, length: usize) -> String {
     match length {
         _ if body.len() < length => format!("\n  (cut off after {} bytes)\n", body.len()),
         0 => String::new(),
--- a/tests/exchange/mod.rs
+++ b/tests/exchange/mod.rs
@@ -1,6 +1,6 @@
-//! Recorded exchanges: the language of their steps, and the runner that plays them against the real program.
+//! Recorded exchanges: the language of their steps, and the runner that performs them with the real program.
 //!
-//! Nothing waits for a duration: each step waits for bytes, and gives up after far longer than any step takes.
+//! No step waits for a duration: each waits for bytes, with a timeout far beyond what any step takes.
 
 mod connections;
 mod message;
@@ -15,18 +15,18 @@
 
 use runner::Runner;
 
-/// Far longer than any step takes.
+/// Far longer than any step takes, so that only a step that never completes reaches it.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What each program inherits.
+/// What the consecutive programs of an exchange inherit.
 struct Inherited {
-    /// The clients' listening socket.
+    /// Listening socket for clients.
     listener: TcpListener,
-    /// The folder of the program's files.
+    /// Folder of the program's files.
     folder: PathBuf,
 }
 
-/// Plays an exchange; returns what it noted.
+/// Plays an exchange; returns its record.
 pub(crate) fn play(name: &str) -> String {
     let path = format!("{}/tests/exchanges/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(path).expect("a recorded exchange");
@@ -34,5 +34,5 @@
     for step in script::parse(&text) {
         runner.perform(&step);
     }
-    runner.notes()
+    runner.record()
 }
--- a/tests/exchange/program.rs
+++ b/tests/exchange/program.rs
@@ -1,4 +1,4 @@
-//! The program under test, with its log read line by line.
+//! The program under test; its log is read line by line.
 
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -7,7 +7,7 @@
 
 use super::{Inherited, STEP_TIMEOUT};
 
-/// A running program. Killed when dropped.
+/// A running program, killed when dropped.
 pub(crate) struct Program {
     child: Child,
     log: Receiver<String>,
@@ -21,7 +21,7 @@
 }
 
 impl Program {
-    /// Starts the program with the path of its configuration and the address of discovery.
+    /// Starts the program with this configuration file and discovery address.
     pub(crate) fn start(config: &Path, discovery: &str, inherited: Option<&Inherited>) -> Self {
         let mut child = command(inherited)
             .arg("serve")
@@ -32,7 +32,7 @@
             .expect("the program starts");
         let (sender, log) = channel();
         let stderr = child.stderr.take().expect("standard error is piped");
-        // By a thread, since a pipe has no time-out.
+        // In a thread, since reading from a pipe has no timeout.
         std::thread::spawn(move || {
             let mut lines = BufReader::new(stderr).lines().map_while(Result::ok);
             lines.all(|line| sender.send(line).is_ok())
@@ -45,7 +45,9 @@
         let next = || self.log.recv_timeout(STEP_TIMEOUT).ok();
         std::iter::from_fn(next)
             .find(|line| line.contains(text))
-            .unwrap_or_else(|| panic!("expected '{text}' in the log, which has ended or is silent"))
+            .unwrap_or_else(|| {
+                panic!("expected '{text}' in the log, which ended or had no further line in time")
+            })
     }
 
     pub(crate) fn signal(&self, signal: &str) {
@@ -54,17 +56,17 @@
         let status = status.expect("kill runs");
         assert!(
             status.success(),
-            "{signal} is sent to process {id}: {status}"
+            "sending {signal} to process {id} failed: {status}"
         );
     }
 
     pub(crate) fn kill(mut self) {
         self.child.kill().expect("killed");
-        self.child.wait().expect("its exit status");
+        self.child.wait().expect("an exit status");
     }
 
     pub(crate) fn await_exit(&mut self) -> ExitStatus {
-        self.child.wait().expect("its exit status")
+        self.child.wait().expect("an exit status")
     }
 }
 
@@ -75,7 +77,7 @@
         command.env_clear();
         return command;
     };
-    // The shell moves its standard input to the descriptor.
+    // The shell duplicates its standard input, which is the listener, as descriptor 7.
     let listener = listener.try_clone().expect("a copy of the listener");
     let mut shell = Command::new("/bin/sh");
     shell
--- a/tests/exchange/redaction.rs
+++ b/tests/exchange/redaction.rs
@@ -1,10 +1,10 @@
-//! What differs from run to run is replaced in what an exchange notes: addresses, folders, times.
+//! Replaces what differs from run to run in the record of an exchange: addresses, folders, times.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Addresses by the names that exchanges have for them.
+/// Addresses by their names in exchanges.
 #[derive(Default)]
 pub(crate) struct Addresses(HashMap<String, SocketAddr>);
 
@@ -20,7 +20,7 @@
 
     /// Replaces @NAME by addresses.
     pub(crate) fn resolve(&self, text: &str) -> String {
-        // The longest names first: one may begin with another.
+        // The longest names first, since one may be a prefix of another.
         let mut names: Vec<_> = self.0.iter().collect();
         names.sort_by_key(|(name, _)| std::cmp::Reverse(name.len()));
         names
@@ -46,7 +46,7 @@
     }
 }
 
-/// A header line, its value replaced where it depends on the time.
+/// Masks the value of a header that depends on the time.
 pub(crate) fn redact_header(line: &str) -> String {
     match line.split_once(": ") {
         Some((header @ ("date" | "x-time-left-ms"), _)) => format!("{header}: (masked)"),
--- a/tests/exchange/runner.rs
+++ b/tests/exchange/runner.rs
@@ -1,4 +1,4 @@
-//! Performs the steps of an exchange, and notes what they receive.
+//! Performs the steps of an exchange, and records what they receive.
 
 use std::collections::HashMap;
 use std::fmt::{Display, Write as _};
@@ -15,26 +15,25 @@
 use super::script::{unescape, Step};
 use super::{message, Inherited, STEP_TIMEOUT};
 
-/// First line of a new process on the hot-restart socket.
+/// First line that a new process sends on the hot-restart socket.
 const HOT_RESTART_GREETING: &[u8] = b"applewall succession 1\n";
 /// First bytes of a snapshot.
 const SNAPSHOT_MAGIC: &[u8] = b"AWE1";
 const STATE_FILE: &str = "applewall-n0.state";
 const HOT_RESTART_SOCKET: &str = "applewall-n0.sock";
 
-/// Which of two programs a step is for.
+/// The process that a step applies to.
 #[derive(Clone, Copy, Debug)]
 enum Process {
-    /// The one that was started last.
+    /// The process started last.
     Current,
-    /// The one that ran before an upgrade.
+    /// The process that ran before an upgrade.
     Old,
 }
 
-/// The parties of an exchange, the programs, and the notes.
+/// The state of a running exchange: sockets, programs, and the record.
 pub(crate) struct Runner {
-    /// Of the exchange.
-    name: String,
+    exchange: String,
     connections: Connections,
     addresses: Addresses,
     config: Value,
@@ -42,7 +41,7 @@
     old_program: Option<Program>,
     inherited: Option<Inherited>,
     hot_restart_connections: HashMap<String, UnixStream>,
-    notes: String,
+    record: String,
 }
 
 impl Drop for Runner {
@@ -60,7 +59,7 @@
         let mut addresses = Addresses::default();
         let config = include_str!("../exchanges/config.json");
         Runner {
-            name: name.to_string(),
+            exchange: name.to_string(),
             connections: Connections::open(&mut addresses),
             addresses,
             config: serde_json::from_str(config).expect("JSON"),
@@ -68,16 +67,16 @@
             old_program: None,
             inherited: None,
             hot_restart_connections: HashMap::new(),
-            notes: String::new(),
+            record: String::new(),
         }
     }
 
-    /// What the exchange has noted so far.
-    pub(crate) fn notes(&self) -> String {
-        self.notes.clone()
+    /// What has been recorded so far.
+    pub(crate) fn record(&self) -> String {
+        self.record.clone()
     }
 
-    /// Performs a step that begins with a fixed word, or else with a name.
+    /// Performs a step: one that begins with a keyword, or else one that begins with a connection's name.
     pub(crate) fn perform(&mut self, step: &Step) {
         let words: Vec<&str> = step.line.split(' ').collect();
         match words[..] {
@@ -92,7 +91,7 @@
             ["state", ref text @ ..] => {
                 std::fs::write(self.file(STATE_FILE), text.join(" ")).expect("written");
             }
-            ["ledger"] => self.note_state(),
+            ["ledger"] => self.record_state(),
             ["stale"] => self.leave_stale_socket(),
             ["deaf", name] => self.connections.stop_listening(name),
             ["old", ref words @ ..] => self.perform_process_step(Process::Old, step, words),
@@ -134,7 +133,7 @@
             ["connect"] => self.connect(name, "ingress"),
             ["sends"] => self.send(name, &message::expand(&step.below, &self.addresses)),
             ["asks", id, header @ ..] => {
-                self.send(name, &message::usual_request(id, &header.join(" ")));
+                self.send(name, &message::default_request(id, &header.join(" ")));
             }
             ["gets"] => self.receive(name),
             ["ends"] => self.close(name),
@@ -154,28 +153,28 @@
         }
     }
 
-    /// Notes a step and what it received.
-    fn note(&mut self, step: &str, received: impl Display) {
-        writeln!(self.notes, "{step}\n  {received}\n").expect("noted");
+    /// Records a step and what it received.
+    fn record_step(&mut self, step: &str, received: impl Display) {
+        writeln!(self.record, "{step}\n  {received}\n").expect("recorded");
     }
 }
 
-/// The programs.
+/// Steps on the programs.
 impl Runner {
     fn set_configuration(&mut self, pointer: &str, value: &str) {
         let value = self.addresses.resolve(value);
         let value = serde_json::from_str(&value).expect("JSON");
         match self.config.pointer_mut(pointer) {
             Some(present) => *present = value,
-            // A new key stands at the top only.
+            // A new key can only be added at the top level.
             None => self.config[pointer.trim_start_matches('/')] = value,
         }
     }
 
-    /// Writes the configuration file, and returns its path.
+    /// Writes the configuration file; returns its path.
     fn write_configuration(&self, text: &str) -> PathBuf {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-        let path = folder.join(format!("{}.json", self.name));
+        let path = folder.join(format!("{}.json", self.exchange));
         std::fs::write(&path, text).expect("the configuration is written");
         path
     }
@@ -217,7 +216,7 @@
         };
         program
             .as_mut()
-            .unwrap_or_else(|| panic!("no process: {process:?}"))
+            .unwrap_or_else(|| panic!("no {process:?} process is running"))
     }
 
     fn reload(&mut self, text: &str) {
@@ -230,19 +229,19 @@
         let line = self.addresses.redact(line);
         let line = line.replace(env!("CARGO_TARGET_TMPDIR"), "@files");
         let line = self.redact_folder(&line);
-        self.note(&noted(process, "log"), line);
+        self.record_step(&recorded_name(process, "log"), line);
     }
 
     fn await_exit(&mut self, process: Process) {
         let status = self.process(process).await_exit();
-        self.note(&noted(process, "exit"), status);
+        self.record_step(&recorded_name(process, "exit"), status);
     }
 }
 
-/// The files that consecutive programs share, and the hot-restart socket.
+/// Steps on the hot-restart socket and the files that consecutive programs have in common.
 impl Runner {
     fn inherit(&mut self) {
-        let folder = format!("applewall-{}-{}", std::process::id(), self.name);
+        let folder = format!("applewall-{}-{}", std::process::id(), self.exchange);
         let folder = std::env::temp_dir().join(folder);
         std::fs::create_dir_all(&folder).expect("a folder");
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
@@ -262,9 +261,9 @@
         redact_folder(text, inherited.map(|inherited| inherited.folder.as_path()))
     }
 
-    fn note_state(&mut self) {
+    fn record_state(&mut self) {
         let text = std::fs::read_to_string(self.file(STATE_FILE)).expect("the state file");
-        self.note("ledger", text);
+        self.record_step("ledger", text);
     }
 
     fn leave_stale_socket(&self) {
@@ -281,7 +280,10 @@
         if !self.hot_restart_connections.contains_key(name) {
             self.greet(name);
         }
-        let stream = self.hot_restart_connections.get_mut(name).expect("greeted");
+        let stream = self
+            .hot_restart_connections
+            .get_mut(name)
+            .expect("a hot-restart connection");
         let mut magic = [0; 4];
         stream.read_exact(&mut magic).expect("the head");
         assert_eq!(magic, SNAPSHOT_MAGIC, "the first bytes of a snapshot");
@@ -301,7 +303,7 @@
     }
 }
 
-/// The connections.
+/// Steps on connections.
 impl Runner {
     /// Connects a client to one of the program's addresses.
     fn connect(&mut self, name: &str, to: &str) {
@@ -315,7 +317,7 @@
     fn receive(&mut self, name: &str) {
         let received = self.connections.receive(name);
         let received = self.addresses.redact(received);
-        writeln!(self.notes, "{name} gets\n{received}").expect("noted");
+        writeln!(self.record, "{name} gets\n{received}").expect("recorded");
     }
 
     fn close(&mut self, name: &str) {
@@ -331,7 +333,7 @@
     fn receive_datagram(&mut self, name: &str) {
         let program = self.addresses.get("peer_listen");
         self.connections.receive_datagram(name, program);
-        writeln!(self.notes, "{name} catches a datagram\n").expect("noted");
+        writeln!(self.record, "{name} catches a datagram\n").expect("recorded");
     }
 
     fn connect_to_admin(&self, process: Process) -> TcpStream {
@@ -342,7 +344,7 @@
         TcpStream::connect(self.addresses.get(name)).expect("an admin connection")
     }
 
-    /// Sends the bytes of a command, and notes its response up to the end of the connection.
+    /// Sends an admin command with these writes, and records the response up to the end of the connection.
     fn run_admin_command(&mut self, process: Process, step: &Step, writes: &[&[u8]]) {
         let mut stream = self.connect_to_admin(process);
         let timeout = stream.set_read_timeout(Some(STEP_TIMEOUT));
@@ -356,7 +358,7 @@
         let read = stream.read_to_string(&mut response);
         read.expect("a response is read");
         let response = self.redact_folder(&response);
-        self.note(&step.line, response.trim_end_matches('\n'));
+        self.record_step(&step.line, response.trim_end_matches('\n'));
     }
 
     fn abandon_admin_connection(&self, bytes: &[u8]) {
@@ -365,8 +367,8 @@
     }
 }
 
-/// A step for one of two processes, as it is noted.
-fn noted(process: Process, step: &str) -> String {
+/// The name of a step in the record, by its process.
+fn recorded_name(process: Process, step: &str) -> String {
     match process {
         Process::Current => step.to_string(),
         Process::Old => format!("old {step}"),
--- a/tests/exchange/script.rs
+++ b/tests/exchange/script.rs
@@ -1,41 +1,42 @@
-//! The language of recorded exchanges: one step a line, done in order. Lines that begin with `#` are comments.
+//! The language of recorded exchanges: one step per line, performed in order. Lines that begin with `#` are comments.
 //!
-//! - `set KEY VALUE`: changes the configuration (`tests/exchanges/config.json`), by a JSON pointer;
-//! - `start`: starts the program; it knows the endpoint `s1`, which listens already;
-//! - `deaf NAME`: that party no longer listens;
-//! - `NAME accept FROM`: NAME is the next connection that comes in at FROM (`s1`, `discovery`, `discovery2`);
-//! - `NAME fills`: connects to NAME until its backlog is full; `NAME dialled`: waits until a connection of the program
-//!   waits for that; `NAME frees`: accepts and closes the former, so that the program's next attempt is established;
-//! - `NAME connect`: NAME is a new connection of a client;
-//! - `NAME asks ID`: a usual request with that id goes out; `NAME asks ID HEADER: VALUE`: with that header in place
-//!   of its own, or added;
-//! - `NAME*N STEP`: for each of NAME0 to NAME(N-1);
-//! - `NAME sends`: the lines below that begin with `| ` go out, each with CRLF (`|=TEXT` is a body
-//!   with its length before it, `|*N TEXT` one of N times TEXT; @NAME stands for an address);
-//! - `NAME gets`: one message, or the end of the connection, is read and noted;
-//! - `NAME ends`: the connection is closed from here; `NAME resets`: it is reset; `NAME shuts`: only its sending half;
-//! - `NAME throws TEXT`, `NAME catches`: a datagram from `peer0`, `peer1` or `stranger`, or to them;
-//! - `log TEXT`: reads the log up to a line with that in it; `exit`: notes the exit status;
-//! - `operator LINE`: one admin command, and its response; `operator-raw BYTES`: these bytes, with \r, \n,
-//!   \xHH and `*N TEXT` for N times TEXT; `operator-bytes`: one at a time; `NAME holds TEXT`: an admin connection that
-//!   sends that and stays; `NAME leaves BYTES`: one that is closed before its response;
-//! - `inherit`: the clients' listening socket is held here, and each program started from now on inherits it as
-//!   descriptor 7 (`GW_FD`), with one folder for their `$TMPDIR`;
-//! - `nowhere`: that folder is removed;
-//! - `upgrade`: starts one more program beside the one that runs, which is `old` from now on: `old term`, `old log TEXT`,
-//!   `old exit`, `old operator LINE`; `kill`: SIGKILL;
-//! - `NAME greets`: a connection to the hot-restart socket that sends what a new process sends;
-//! - `NAME takes`: the same, unless it did, and reads the snapshot;
-//!   `NAME says TEXT`: a line on such a connection;
-//! - `state TEXT`: writes the file of maintenance states; `ledger`: notes what is in it; `stale`: a hot-restart socket
-//!   that nobody listens at;
-//! - `term`: SIGTERM; `hup`: the configuration as set by now replaces the file, then SIGHUP; `hup TEXT`: the file
-//!   holds that text instead.
+//! - `set KEY VALUE`: changes the configuration (`tests/exchanges/config.json`); KEY is a JSON pointer;
+//! - `start`: starts the program; it knows the endpoint `s1`, which is listening already;
+//! - `deaf NAME`: closes the listener NAME;
+//! - `NAME accept FROM`: accepts the next connection at FROM (`s1`, `discovery`, `discovery2`) as NAME;
+//! - `NAME fills`: connects to NAME until its backlog is full; `NAME dialled`: waits until the backlog blocks a connection
+//!   attempt of the program; `NAME frees`: accepts and closes the connections of `fills`, so that the program's next
+//!   attempt is established;
+//! - `NAME connect`: opens a client connection NAME;
+//! - `NAME asks ID`: sends the default request with that id; `NAME asks ID HEADER: VALUE`: with that header replaced or
+//!   added;
+//! - `NAME*N STEP`: performs STEP for each of NAME0 to NAME(N-1);
+//! - `NAME sends`: sends the lines below that begin with `| `, each with CRLF (`|=TEXT` is a body preceded by its length,
+//!   `|*N TEXT` a body of N times TEXT; @NAME is replaced by an address);
+//! - `NAME gets`: reads and records one message, or the end of the connection;
+//! - `NAME ends`: closes the connection; `NAME resets`: resets it; `NAME shuts`: shuts down its sending half;
+//! - `NAME throws TEXT`, `NAME catches`: sends a datagram from `peer0`, `peer1` or `stranger`, or receives one there;
+//! - `log TEXT`: reads the log up to a line that contains TEXT, and records it; `exit`: records the exit status;
+//! - `operator LINE`: sends an admin command and records its response; `operator-raw BYTES`: the same with these bytes,
+//!   where \r, \n and \xHH are escapes and `*N TEXT` is N times TEXT; `operator-bytes`: the same, one byte at a time;
+//!   `NAME holds TEXT`: opens an admin connection, sends TEXT and keeps it open; `NAME leaves BYTES`: closes one before its
+//!   response;
+//! - `inherit`: opens the listening socket for clients; each program started from now on inherits it as descriptor 7
+//!   (`GW_FD`), with the same folder as `$TMPDIR`;
+//! - `nowhere`: removes that folder;
+//! - `upgrade`: starts a second program; the first one is `old` from now on: `old term`, `old log TEXT`, `old exit`,
+//!   `old operator LINE`; `kill`: sends SIGKILL;
+//! - `NAME greets`: connects to the hot-restart socket and sends the first line of a new process;
+//! - `NAME takes`: does the same unless NAME is connected, and reads the snapshot; `NAME says TEXT`: sends a line on such a
+//!   connection;
+//! - `state TEXT`: writes the state file; `ledger`: records its content; `stale`: leaves a hot-restart socket without a
+//!   listener;
+//! - `term`: sends SIGTERM; `hup`: writes the configuration file as set by now and sends SIGHUP; `hup TEXT`: the same, but
+//!   writes TEXT to the file.
 
 /// One step of an exchange.
 #[derive(Debug)]
 pub(crate) struct Step {
-    /// Its line.
     pub(crate) line: String,
     /// The lines below it that begin with `|`.
     pub(crate) below: Vec<String>,
@@ -65,7 +66,7 @@
     steps
 }
 
-/// The lines that `NAME*N STEP` stands for; any other line itself.
+/// Expands `NAME*N STEP` to its lines; returns any other line itself.
 fn repeated(line: &str) -> Vec<String> {
     let repetition = line.split_once('*');
     let Some((name, rest)) = repetition.filter(|(name, _)| !name.contains(' ')) else {
@@ -78,7 +79,7 @@
         .collect()
 }
 
-/// Bytes as an exchange writes them.
+/// The bytes of a text with escapes.
 pub(crate) fn unescape(text: &str) -> Vec<u8> {
     let text = repeat_marked(text);
     let (mut bytes, mut characters) = (Vec::new(), text.chars());
@@ -100,7 +101,7 @@
     bytes
 }
 
-/// `*N TEXT` as N times TEXT; TEXT ends before the first backslash.
+/// Expands `*N TEXT` to N times TEXT; TEXT ends before the first backslash.
 fn repeat_marked(text: &str) -> String {
     let Some((before, (count, repeated))) = text
         .split_once('*')
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,5 +1,5 @@
-//! Recorded exchanges (`tests/exchanges/*.txt`), played against the real program over loopback; what it sends and logs is
-//! compared with what was recorded. `exchange::script` describes the language.
+//! Recorded exchanges (`tests/exchanges/*.txt`), played with the real program over loopback; what it sends and logs is
+//! compared with the recorded snapshots. `exchange::script` describes the language.
 
 mod exchange;
 
