--- a/tests/datagrams/mod.rs
+++ b/tests/datagrams/mod.rs
@@ -1,4 +1,4 @@
-//! The recorded datagrams between nodes (`tests/golden/datagrams.txt`), and how each kind is read and written.
+//! The recorded datagrams between nodes (`tests/golden/datagrams.txt`), and how each kind is decoded and encoded.
 
 pub(crate) mod samples;
 
@@ -8,11 +8,10 @@
 
 use crate::golden;
 
-/// A kind of datagram.
 pub(crate) struct Kind {
-    /// Its name in the recording.
+    /// Name in the recording.
     pub(crate) name: &'static str,
-    /// Whether a datagram is of this kind.
+    /// Tells whether a datagram is of this kind.
     pub(crate) matches: fn(&str) -> bool,
     /// Decodes a datagram and encodes it again.
     pub(crate) recode: fn(&str) -> Option<String>,
@@ -20,7 +19,6 @@
     pub(crate) other_version: &'static str,
 }
 
-/// All kinds.
 pub(crate) const KINDS: [Kind; 7] = [
     quota_kind("use", |text| text.starts_with('u'), "v"),
     quota_kind("word", |text| text.starts_with('w'), "W"),
@@ -62,7 +60,7 @@
 fn recode_quota(text: &str) -> Option<String> {
     let message = codec::decode(text)?;
     let mut texts = codec::encode(message.incarnation, &message.records);
-    // A message without records says only that its sender runs: it is encoded as one of the first kind.
+    // A message without records only shows that its sender is alive; it is encoded as a usage report.
     assert!(
         texts.len() == 1 && (texts[0] == text || message.records.is_empty()),
         "{text} is encoded as {texts:?}"
@@ -70,23 +68,21 @@
     texts.pop()
 }
 
-/// A recorded datagram.
 pub(crate) struct RecordedDatagram {
     pub(crate) kind: &'static Kind,
-    /// How many of its prefixes are valid datagrams too.
+    /// Number of its prefixes that are valid datagrams as well.
     pub(crate) valid_prefixes: usize,
     pub(crate) text: String,
 }
 
 impl RecordedDatagram {
-    /// The same datagram of another version.
+    /// This datagram with the first characters of another version.
     pub(crate) fn of_other_version(&self) -> String {
         let head = self.kind.other_version;
         format!("{head}{}", &self.text[head.len()..])
     }
 }
 
-/// The recorded datagrams.
 pub(crate) fn recorded() -> Vec<RecordedDatagram> {
     let datagram = |line: &str| {
         let mut fields = line.splitn(3, '\t');
@@ -103,7 +99,6 @@
     text.lines().map(datagram).collect()
 }
 
-/// The recorded datagrams of a kind.
 pub(crate) fn of_kind(name: &str) -> Vec<String> {
     recorded()
         .into_iter()
--- a/tests/datagrams/samples.rs
+++ b/tests/datagrams/samples.rs
@@ -1,4 +1,4 @@
-//! What the recorded datagrams were encoded from: values that their codes hold without loss.
+//! The messages that the recorded datagrams encode, with values that the encoding represents exactly.
 
 use applewall::api::{NodeId, NodeSet, PlanId};
 use applewall::decision::hashing::{fingerprint, CustomerFingerprint};
@@ -8,7 +8,7 @@
 use applewall::LoadStatistics;
 use applewall_startup_scheduler::{CohortMessage, StatusMessage};
 
-/// The messages of the quota datagrams; one of them is encoded as several datagrams.
+/// The messages of the quota datagrams; one of them takes several datagrams.
 pub(crate) fn quota_messages() -> Vec<Message> {
     let message = |incarnation, records| Message {
         incarnation,
@@ -23,7 +23,7 @@
     vec![
         message(0, vec![]),
         message(1, vec![customer_record(0x3fff_ffff, usage(63))]),
-        // More records than one datagram holds.
+        // More records than fit in one datagram.
         message(0xff_ffff, customers.collect()),
         message(77, aggregates.into()),
         message(
@@ -100,7 +100,7 @@
     })
 }
 
-/// The values of a record in the order of the datagram.
+/// The values of a record, in their order in the datagram.
 pub(crate) fn values(record: &Record) -> Vec<f64> {
     match *record {
         Record::Usage(report) => {
--- a/tests/golden_bench.rs
+++ b/tests/golden_bench.rs
@@ -236,7 +236,7 @@
     ] {
         now += &format!("{torn}\n  {}\n", read(&stage, torn).unwrap_err());
     }
-    golden::same("bench_read.txt", now.as_bytes());
+    golden::assert_same("bench_read.txt", now.as_bytes());
 }
 
 #[test]
@@ -291,7 +291,7 @@
     });
     simulator::write_exception(&mut now, 3, &text());
     simulator::write_ready(&mut now, u64::MAX);
-    golden::same("bench_actions.jsonl", now.as_bytes());
+    golden::assert_same("bench_actions.jsonl", now.as_bytes());
 }
 
 /// The protocol has 0 where the policy sets no timeout and advises no wait.
@@ -332,5 +332,5 @@
         .unwrap();
     let out = child.wait_with_output().unwrap();
     assert!(out.status.success());
-    golden::same("bench_out.jsonl", &out.stdout);
+    golden::assert_same("bench_out.jsonl", &out.stdout);
 }
--- a/tests/golden_config.rs
+++ b/tests/golden_config.rs
@@ -49,7 +49,7 @@
         ("schema_operator.json", &["schema"][..]),
         ("schema_registry.json", &["schema", "registry"]),
     ] {
-        golden::same(
+        golden::assert_same(
             file,
             (serde_json::to_string_pretty(&schema(arguments)).unwrap() + "\n").as_bytes(),
         );
@@ -97,7 +97,7 @@
     ];
     let mut now = run(&["check", "--operator", operator], &[config]);
     now += &run(&["check"], &variables);
-    golden::same(
+    golden::assert_same(
         "check.txt",
         now.replace(operator, "operator.ini").as_bytes(),
     );
--- a/tests/golden_datagrams.rs
+++ b/tests/golden_datagrams.rs
@@ -49,7 +49,7 @@
         );
         lines += &format!("{}\t{valid_prefixes}\t{text}\n", kind.name);
     }
-    golden::same("datagrams.txt", lines.as_bytes());
+    golden::assert_same("datagrams.txt", lines.as_bytes());
 }
 
 #[test]
@@ -147,7 +147,7 @@
         let total = WrappingTotal::from_units(number as f64 * 1030.3).code();
         lines += &format!("{customer} {rank} {draw:016x} {total}\n");
     }
-    golden::same("names.txt", lines.as_bytes());
+    golden::assert_same("names.txt", lines.as_bytes());
     let units_between = |before, after| {
         WrappingTotal::from_code(after).units_since(WrappingTotal::from_code(before))
     };
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -28,7 +28,7 @@
         ("state.json", &["s-2", "s \"ü\" 1"][..]),
         ("state_empty.json", &[]),
     ] {
-        golden::same(file, state_file::encode(&maintenance_set(ids)).as_bytes());
+        golden::assert_same(file, state_file::encode(&maintenance_set(ids)).as_bytes());
         assert_eq!(
             state_file::decode(&golden::text(file)).unwrap(),
             maintenance_set(ids)
@@ -154,7 +154,7 @@
         ("roster.snapshot", &full[..]),
         ("roster_empty.snapshot", &[]),
     ] {
-        golden::same(file, &snapshot(members).encode());
+        golden::assert_same(file, &snapshot(members).encode());
         assert_eq!(
             Snapshot::decode(&golden::bytes(file), &LIMITS),
             Ok(snapshot(members))
@@ -235,7 +235,7 @@
             Err(why) => format!("{value}\n  refused: {why}\n"),
         };
     }
-    golden::same("registry_values.txt", parsed.as_bytes());
+    golden::assert_same("registry_values.txt", parsed.as_bytes());
 }
 
 #[test]
@@ -326,7 +326,7 @@
         let response = serde_json::to_string(&response).unwrap();
         responses += &format!("{line}\n  {response}\n");
     }
-    golden::same("admin.txt", responses.as_bytes());
+    golden::assert_same("admin.txt", responses.as_bytes());
     let mut names: Vec<_> = std::fs::read_dir(folder.path())
         .unwrap()
         .map(|entry| entry.unwrap().file_name())
@@ -336,5 +336,5 @@
         names,
         ["applewall-n0.sock", "applewall-n0.state", "config.json"]
     );
-    golden::same("state_after.json", &std::fs::read(state_file).unwrap());
+    golden::assert_same("state_after.json", &std::fs::read(state_file).unwrap());
 }
--- a/tests/golden_handover.rs
+++ b/tests/golden_handover.rs
@@ -20,7 +20,7 @@
 fn the_snapshot_of_a_play_is_as_recorded() {
     let mut driver = play();
     assert_eq!(driver.now, END);
-    golden::same(
+    golden::assert_same(
         "handover.bin",
         &driver.policy.export_snapshot().expect("written"),
     );
@@ -34,7 +34,7 @@
         .policy
         .export_snapshot()
         .expect("written");
-    golden::same("handover_again.bin", &again);
+    golden::assert_same("handover_again.bin", &again);
     let (mut first, again) = (decode(&bytes), decode(&again));
     for customer in first.customers.values_mut() {
         customer.ceiling *= 0.5;
@@ -204,7 +204,7 @@
     for (peer, text) in &driver.gossip {
         lines += &format!("{:?} {text}\n", peer.map(|node| node.0));
     }
-    golden::same("handover_goes_on.txt", lines.as_bytes());
+    golden::assert_same("handover_goes_on.txt", lines.as_bytes());
 }
 
 #[test]
--- a/tests/hot_restart_snapshot/mod.rs
+++ b/tests/hot_restart_snapshot/mod.rs
@@ -1,4 +1,4 @@
-//! The bytes of a hot restart's snapshot: their form, and a short play whose snapshot is recorded.
+//! The encoding of a hot restart's snapshot, and a short simulation whose snapshot is recorded.
 
 pub(crate) mod play;
 
@@ -7,13 +7,13 @@
 use crc::{Crc, CRC_32_ISCSI};
 use serde::{Deserialize, Serialize};
 
-/// The checksum behind a snapshot.
+/// The checksum at the end of a snapshot.
 pub(crate) const CHECKSUM: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
 
 type Meter = (f64, f64);
 type Sums = [f64; 9];
 
-/// The form of a snapshot, independent of the decision code's own types: order and width of all that is in it.
+/// The encoding of a snapshot, written independently of the decision policy's types: the order and types of all its fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct DecodedSnapshot {
     pub(crate) shape: (u32, u32, u32),
@@ -85,7 +85,7 @@
 }
 
 pub(crate) fn decode(bytes: &[u8]) -> DecodedSnapshot {
-    postcard::from_bytes_crc32(bytes, CHECKSUM.digest()).expect("a snapshot of this form")
+    postcard::from_bytes_crc32(bytes, CHECKSUM.digest()).expect("a snapshot of this version")
 }
 
 pub(crate) fn encode(snapshot: &DecodedSnapshot) -> Vec<u8> {
--- a/tests/hot_restart_snapshot/play.rs
+++ b/tests/hot_restart_snapshot/play.rs
@@ -1,4 +1,4 @@
-//! A short play: all kinds of requests, outcomes and datagrams, and an endpoint that is removed.
+//! A short simulation with all kinds of requests, outcomes and datagrams, and the removal of an endpoint.
 
 use applewall::api::*;
 use applewall::decision::hashing::{fingerprint, CustomerFingerprint};
@@ -12,7 +12,7 @@
     self, attempted_endpoint, PolicyDriver, KEYED, MILLISECOND, SAFE, SECOND, UNSAFE,
 };
 
-/// When the play ends.
+/// Time at the end of the simulation.
 pub(crate) const END: u64 = 1_002_000 * MILLISECOND;
 
 const OUTCOMES: [Outcome; 7] = [
@@ -25,7 +25,7 @@
     Outcome::Overloaded,
 ];
 
-/// Twenty nodes, a plan with a ceiling, and two machine types.
+/// Settings with 20 nodes, a plan with a ceiling, and two machine types.
 pub(crate) fn settings() -> PolicySettings {
     let mut settings = PolicySettings {
         node_count: 20,
@@ -54,7 +54,7 @@
     ]
 }
 
-/// The datagrams of a peer with one record.
+/// The datagrams with which a peer sends a record.
 fn datagrams(from: u32, incarnation: u32, customer: u32, record: Record) -> Vec<Event> {
     let record = CustomerRecord {
         customer: CustomerFingerprint(customer),
@@ -80,7 +80,7 @@
     })
 }
 
-/// What peers send: sender, customer and record.
+/// Records sent by peers: sender, customer and record.
 fn peer_records() -> [(u32, u32, Record); 4] {
     let aggregate = Record::Aggregate(AggregateUpdate {
         demand: 7.0,
@@ -94,7 +94,7 @@
     ]
 }
 
-/// Sends a request and ends its attempt; all kinds take turns.
+/// Sends a request and ends its attempt; class, plan, customer and outcome vary by round.
 fn play_request(driver: &mut PolicyDriver, round: u32) {
     let number = round as usize;
     let customer = number / 9 % 3;
@@ -113,7 +113,7 @@
     }
 }
 
-/// Plays until [`END`].
+/// Simulates until [`END`].
 pub(crate) fn play() -> PolicyDriver {
     let mut driver = PolicyDriver::new(settings(), 7, &endpoints());
     let peer_records = peer_records();
@@ -150,11 +150,11 @@
     driver
 }
 
-/// Takes over at [`END`] as a new process does: the snapshot first, then the list as it was transferred.
+/// Takes over at [`END`] as a new process does: it imports the snapshot, then the transferred endpoint list.
 ///
 /// # Errors
 ///
-/// The text of the error of the snapshot.
+/// The snapshot is refused; returns the error's text.
 pub(crate) fn take_over(snapshot: &[u8]) -> Result<PolicyDriver, String> {
     let mut driver = PolicyDriver::at(END, settings(), 99, &[]);
     let mut policy = DecisionPolicy::new(settings(), 99, END);
--- a/tests/play/mod.rs
+++ b/tests/play/mod.rs
@@ -1,4 +1,4 @@
-//! Plays of the rig for tests: the machine to itself, and once more where it could not play one.
+//! Runs trials of the fault testbed for tests: one at a time, and again if the machine was too slow.
 #![allow(dead_code, reason = "no test program uses all of it")]
 
 use std::path::Path;
@@ -7,12 +7,12 @@
 use applewall_fault_testbed::run::{self, TrialOutcome};
 use applewall_fault_testbed::trial::Trial;
 
-/// One trial at a time: each has the machine to itself, and its processes' time limits hold.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held during a trial: two trials at a time would slow each other down until their processes miss time limits.
+static RUNNING_TRIAL: Mutex<()> = Mutex::new(());
 
-/// Plays a trial's text with the program under test; where the machine was too slow, up to twice more.
+/// Runs a trial with the program under test; up to twice more if its outcome is invalid because the machine was too slow.
 pub(crate) fn play(text: &str) -> TrialOutcome {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = RUNNING_TRIAL.lock().unwrap_or_else(PoisonError::into_inner);
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
@@ -23,14 +23,14 @@
         let trial = Trial::read(text).expect("a trial");
         let folder = tempfile::tempdir().expect("a folder");
         let program = Path::new(env!("CARGO_BIN_EXE_applewall"));
-        let played = runtime
+        let outcome = runtime
             .block_on(run::run(trial, program, folder.path()))
-            .expect("played");
-        let valid = played.valid();
-        last = Some(played);
-        if valid {
+            .expect("the trial runs");
+        let is_valid = outcome.valid();
+        last = Some(outcome);
+        if is_valid {
             break;
         }
     }
-    last.expect("played at least once")
+    last.expect("at least one run")
 }
