--- a/Makefile
+++ b/Makefile
@@ -67,7 +67,7 @@
 
 measure-quota:
 	@out=$$(cargo test --release --locked --test quota_at_scale -- --ignored --nocapture 2>&1); status=$$?; \
-	printf '%s\n' "$$out" | sed -n '/gateways,/p;/^    /p;/^verdict/p;/^error/p'; exit $$status
+	printf '%s\n' "$$out" | sed -n '/ nodes, /p;/^    /p;/^verdict/p;/^error/p'; exit $$status
 
 clean:
 	cargo clean
