--- a/tests/play/mod.rs
+++ b/tests/play/mod.rs
@@ -11,7 +11,7 @@
 static RUNNING_TRIAL: Mutex<()> = Mutex::new(());
 
 /// Runs a trial with the program under test; up to twice more if its outcome is invalid because the machine was too slow.
-pub(crate) fn play(text: &str) -> TrialOutcome {
+pub(crate) fn run_trial(text: &str) -> TrialOutcome {
     let _guard = RUNNING_TRIAL.lock().unwrap_or_else(PoisonError::into_inner);
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,27 +1,27 @@
-//! A few random schedules of overlapping faults, by fixed seeds (`make soak` plays more).
+//! A few random schedules of overlapping faults, from fixed seeds (`make soak` runs more).
 
 mod play;
 
 use applewall_fault_testbed::journal::Event;
 use applewall_fault_testbed::soak::{self, SoakSizes};
 
-/// Seeds that are played, one after the other.
 const SEEDS: [u64; 4] = [1, 2, 3, 4];
 const SIZES: SoakSizes = SoakSizes {
     ingresses: 8,
     instances: 10,
 };
 
-/// Guards the rules on requests, drains, ends and half requests against crossings of events that no other test plays.
+/// Guards the rules on requests, drains, shutdowns and incomplete requests against overlaps of faults that no other test
+/// has.
 #[test]
 fn rules_are_kept_under_random_schedules_of_overlapping_faults() {
     let mut judged = 0;
     for seed in SEEDS {
         let schedule = soak::draw(seed, SIZES);
-        let outcome = play::play(&soak::trial_text(seed, SIZES, &schedule));
+        let outcome = play::run_trial(&soak::trial_text(seed, SIZES, &schedule));
         if !outcome.valid() {
             let delay_ms = outcome.scheduling_delay_ms;
-            eprintln!("seed {seed}: no verdict, the testbed itself was late by {delay_ms} ms");
+            eprintln!("seed {seed}: no verdict, the testbed itself was delayed by {delay_ms} ms");
             continue;
         }
         assert_eq!(outcome.violations, Vec::<String>::new(), "seed {seed}");
@@ -30,8 +30,14 @@
             .entries
             .iter()
             .filter(|entry| is_shutdown(&entry.event));
-        assert!(shutdowns.count() > 0, "seed {seed} ends no process");
+        assert!(
+            shutdowns.count() > 0,
+            "seed {seed}: no process was shut down"
+        );
         judged += 1;
     }
-    assert!(judged > 0, "no seed had a verdict");
+    assert!(
+        judged > 0,
+        "the machine was too slow for a verdict on any seed"
+    );
 }
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -1,5 +1,5 @@
-//! The real program while the system does what Linux documents that it may: a wall clock that is stepped, a folder that
-//! can't be written for a while. The faults come from a preloaded library (`applewall-fault-shim`).
+//! The real program during faults that Linux documents: a wall clock that is stepped, a folder that cannot be written for a
+//! while, system calls that fail. A preloaded library (`applewall-fault-shim`) injects them.
 
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -21,8 +21,8 @@
 const TIME_LEFT: Duration = Duration::from_secs(3);
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
 
-/// Endpoints, discovery, and what the consecutive processes of one node share.
-struct Surroundings {
+/// Endpoints, discovery, and what the consecutive processes of one node inherit.
+struct Environment {
     folder: TempDir,
     control: ControlFile,
     inherited: InheritedResources,
@@ -30,7 +30,7 @@
     discovery: Discovery,
 }
 
-impl Surroundings {
+impl Environment {
     async fn new(instance_count: u64) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let control = ControlFile::create(&folder.path().join("faults")).expect("a file");
@@ -50,7 +50,7 @@
             listener: TcpListener::bind("127.0.0.1:0").expect("a listener"),
             folder: folder.path().to_path_buf(),
         };
-        Surroundings {
+        Environment {
             folder,
             control,
             inherited,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A daemon with an admin address, on the listener that the consecutive processes share.
+    /// Starts a daemon with an admin address that inherits the listener and the folder.
     fn start_daemon(&self, known_targets: Vec<Value>) -> Daemon {
         self.start(known_targets, Some(&self.inherited))
     }
@@ -83,8 +83,8 @@
         launcher.start().expect("started")
     }
 
-    /// Ends a fault after a time, while something else goes on.
-    fn end_after(&self, time: Duration, fault: Fault) -> std::thread::JoinHandle<()> {
+    /// Ends a fault after a time, in another thread.
+    fn end_fault_after(&self, time: Duration, fault: Fault) -> std::thread::JoinHandle<()> {
         let control = ControlFile::create(&self.folder.path().join("faults")).expect("a file");
         std::thread::spawn(move || {
             std::thread::sleep(time);
@@ -98,15 +98,15 @@
     }
 }
 
-/// The preloaded library, which cargo builds beside the tests.
+/// The path of the preloaded library, which cargo builds beside the tests.
 fn library() -> PathBuf {
     let test = std::env::current_exe().expect("this test's path");
     let library = test.with_file_name(LIBRARY_NAME);
-    assert!(library.exists(), "{}", library.display());
+    assert!(library.exists(), "{} was not built", library.display());
     library
 }
 
-/// Sends requests one after the other.
+/// Sends requests one after the other; each has to get a response.
 async fn send_requests(daemon: &Daemon, first_id: u64, count: u64) {
     let mut client = connect(daemon.address, [127, 0, 0, 1].into(), None)
         .await
@@ -128,9 +128,9 @@
     let address = daemon.admin_address.expect("an admin address");
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.write_all(line.as_bytes()).await.expect("written");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.expect("read");
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await.expect("read");
+    response
 }
 
 fn unix_ms() -> i64 {
@@ -138,22 +138,21 @@
     now.expect("after 1970").as_millis() as i64
 }
 
-/// How many of 400 requests an endpoint gets that joins right after the wall clock was stepped by so many seconds. It
-/// tells its start by the stepped clock, as every machine reads the same one.
+/// How many of 400 requests an endpoint gets that joins right after the wall clock was stepped by so many seconds. Its start
+/// time is of the stepped clock, as if all machines followed the same time source.
 async fn requests_at_joining_endpoint(step_seconds: i64) -> u64 {
-    let surroundings = Surroundings::new(3).await;
-    let mut list = in_service(&surroundings.instances);
-    let joining = list.pop().expect("three");
-    let daemon = surroundings.start_daemon(list.clone());
+    let environment = Environment::new(3).await;
+    let mut list = in_service(&environment.instances);
+    let mut joining = list.pop().expect("three endpoints");
+    let daemon = environment.start_daemon(list.clone());
     send_requests(&daemon, 0x1000, 100).await;
-    surroundings
+    environment
         .control
         .set(Fault::WallClockOffsetNs, step_seconds * NANOS_PER_SECOND);
-    let mut joining = joining;
     joining["boot_ms"] = json!(unix_ms() + step_seconds * 1000);
     list.push(joining);
-    surroundings.discovery.publish(list);
-    // An endpoint that is not listed is unknown to the admin command.
+    environment.discovery.publish(list);
+    // The command is refused until the daemon knows the endpoint.
     while !admin_command(&daemon, "ENABLE s-2\n")
         .await
         .starts_with("done")
@@ -161,10 +160,10 @@
         tokio::task::yield_now().await;
     }
     send_requests(&daemon, 0x2000, 400).await;
-    surroundings.requests_at(2)
+    environment.requests_at(2)
 }
 
-/// A budget of what the endpoint got with no step, doubled for chance.
+/// The bound is twice the requests that the endpoint gets without a step, for random deviation.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn joining_endpoint_warms_up_in_the_same_way_after_the_wall_clock_was_stepped() {
     let unstepped = requests_at_joining_endpoint(0).await;
@@ -180,54 +179,55 @@
         stepped
             .iter()
             .all(|(_, requests)| allowed.contains(requests)),
-        "{unstepped} with no step; {stepped:?}"
+        "{unstepped} requests without a step; requests by step in seconds: {stepped:?}"
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn disabled_endpoint_stays_disabled_after_a_restart_though_the_folder_was_full_for_a_while() {
-    let surroundings = Surroundings::new(2).await;
-    let known = in_service(&surroundings.instances);
-    let daemon = surroundings.start_daemon(known.clone());
+    let environment = Environment::new(2).await;
+    let known = in_service(&environment.instances);
+    let daemon = environment.start_daemon(known.clone());
     send_requests(&daemon, 0x1000, 20).await;
     let error = i64::from(28); // ENOSPC
-    surroundings.control.set(Fault::FileError, error);
-    let answer = admin_command(&daemon, "DISABLE s-0\n").await;
-    assert!(answer.starts_with("done"), "{answer}");
-    surroundings.control.set(Fault::FileError, 0);
+    environment.control.set(Fault::FileError, error);
+    let response = admin_command(&daemon, "DISABLE s-0\n").await;
+    assert!(response.starts_with("done"), "{response}");
+    environment.control.set(Fault::FileError, 0);
     wait_until("the state is written", || {
-        std::fs::read_dir(surroundings.folder.path())
+        std::fs::read_dir(environment.folder.path())
             .expect("a folder")
             .filter_map(Result::ok)
             .any(|entry| entry.file_name().to_string_lossy().ends_with(".state"))
     })
     .await;
-    // Killed, as by the kernel: nothing is written at the end.
+    // Dropping kills the daemon, so that it writes nothing at its end.
     drop(daemon);
-    let before = surroundings.requests_at(0);
-    let daemon = surroundings.start_daemon(known);
+    let before = environment.requests_at(0);
+    let daemon = environment.start_daemon(known);
     send_requests(&daemon, 0x2000, 60).await;
-    assert_eq!(surroundings.requests_at(0) - before, 0);
+    assert_eq!(environment.requests_at(0) - before, 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn node_starts_though_the_system_has_no_socket_for_a_moment() {
-    let surroundings = Surroundings::new(1).await;
-    surroundings.control.set(Fault::SocketFailsOneIn, 1);
-    let ends = surroundings.end_after(Duration::from_millis(300), Fault::SocketFailsOneIn);
-    let daemon = surroundings.start_daemon(in_service(&surroundings.instances));
-    ends.join().expect("set");
+    let environment = Environment::new(1).await;
+    environment.control.set(Fault::SocketFailsOneIn, 1);
+    let fault_end =
+        environment.end_fault_after(Duration::from_millis(300), Fault::SocketFailsOneIn);
+    let daemon = environment.start_daemon(in_service(&environment.instances));
+    fault_end.join().expect("the fault ends");
     send_requests(&daemon, 0x1000, 5).await;
 }
 
-/// The kernel has accepted the clients; the process can't, from before its SIGTERM until after it has closed idle
-/// connections (0.6 s later).
+/// The kernel has established the clients' connections, but `accept` fails in the process from before its SIGTERM until after
+/// it has closed idle connections (0.6 s later).
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn clients_in_the_kernels_queue_are_answered_though_accept_fails_during_the_shutdown() {
-    let surroundings = Surroundings::new(1).await;
-    let daemon = surroundings.start(in_service(&surroundings.instances), None);
+    let environment = Environment::new(1).await;
+    let daemon = environment.start(in_service(&environment.instances), None);
     send_requests(&daemon, 0x1000, 5).await;
-    surroundings.control.set(Fault::AcceptFailsOneIn, 1);
+    environment.control.set(Fault::AcceptFailsOneIn, 1);
     let mut clients = Vec::new();
     for number in 0..5 {
         let mut client = connect(daemon.address, [127, 0, 0, 1].into(), None)
@@ -238,10 +238,11 @@
         clients.push(client);
     }
     daemon.terminate();
-    let ends = surroundings.end_after(Duration::from_millis(1200), Fault::AcceptFailsOneIn);
+    let fault_end =
+        environment.end_fault_after(Duration::from_millis(1200), Fault::AcceptFailsOneIn);
     for client in &mut clients {
         let response = http::read(client, &mut Vec::new(), Kind::Response).await;
         response.expect("no reset").expect("a response");
     }
-    ends.join().expect("set");
+    fault_end.join().expect("the fault ends");
 }
