--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,17 +1,17 @@
-//! The adapter as a process: replies on the wire, plain messages on what is malformed.
+//! The simulator's adapter as a process: its output, and its error messages for malformed input.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const FACTS: &str = r#"{"areas":["a"],"classes":[{"deadline_ns":2000000000,"idempotency":"retryable","key_scope":"all",
+const SETTINGS: &str = r#"{"areas":["a"],"classes":[{"deadline_ns":2000000000,"idempotency":"retryable","key_scope":"all",
 "name":"r","objective_ns":500000000,"stream":true,"worth":1.0,"new_key":[1]}],"discovery":"subscribe","load_info":{"names":["x"],
 "via":"answers"},"me":0,"obligations":{"cold_ns":9,"cold_share":0.2,"fall_ns":9,"overload_factor":3.0},"peers_total":1,
 "permissions":{"max_attempts":3,"max_retry_after_ns":0,"may_cancel":true,"peer_messages":false,"retry_after":false,
 "second_copies":false},"specifics":{},"tariffs":[{"name":"p"}],"unheard_of":{"of":1},"zone":"a"}"#;
 
-fn play(lines: &[String]) -> Output {
+fn run(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_applewall-simulator-host"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -27,15 +27,16 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
+/// The input lines, with the settings in place of `FACTS`.
 fn lines(text: &[&str]) -> Vec<String> {
     text.iter()
-        .map(|line| line.replace("FACTS", &FACTS.replace('\n', "")))
+        .map(|line| line.replace("FACTS", &SETTINGS.replace('\n', "")))
         .collect()
 }
 
 #[test]
-fn a_batch_is_answered_also_across_a_restart_within_it() {
-    let out = play(&lines(&[
+fn a_batch_with_a_restart_in_it_is_answered() {
+    let out = run(&lines(&[
         r#"["Sync",5,1]"#,
         r#"["Boot",3,7,FACTS]"#,
         r#"["Inventory",0,[["k",1,"s1",null,"a","Ready",0]]]"#,
@@ -64,9 +65,9 @@
         (r#"["Nonsense",3]"#, "outside a batch"),
     ];
     for (line, reason) in cases {
-        fails(&[line], 1, reason);
+        assert_fails(&[line], 1, reason);
     }
-    let inside = [
+    let in_batch = [
         (r#"["Nonsense",3]"#, "unknown event 'Nonsense'"),
         (r#"["Alarm",4,"9"]"#, "no instance 4"),
         (r#"["Alarm",3,9]"#, "'cookie' is not a string"),
@@ -93,8 +94,8 @@
             "unknown status 'WHAT'",
         ),
     ];
-    for (line, reason) in inside {
-        fails(
+    for (line, reason) in in_batch {
+        assert_fails(
             &[
                 r#"["Sync",5,1]"#,
                 r#"["Boot",3,7,FACTS]"#,
@@ -107,8 +108,9 @@
     }
 }
 
-fn fails(input: &[&str], number: usize, reason: &str) {
-    let out = play(&lines(input));
+/// Checks that the adapter ends with one line on standard error, which names the line of the input and the reason.
+fn assert_fails(input: &[&str], number: usize, reason: &str) {
+    let out = run(&lines(input));
     let text = String::from_utf8(out.stderr).unwrap();
     assert!(!out.status.success());
     assert_eq!(text.lines().count(), 1, "{text}");
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line and the configuration: what is wrong ends the program with one plain line.
+//! The command line and the configuration: an error ends the program with one line on standard error.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -15,7 +15,8 @@
     command.output().unwrap()
 }
 
-fn fails(out: Output, reason: &str) {
+/// Checks that the program failed, with one line on standard error that contains the reason.
+fn assert_fails(out: Output, reason: &str) {
     let text = String::from_utf8(out.stderr).unwrap();
     assert!(
         !out.status.success() && text.lines().count() == 1 && text.contains(reason),
@@ -23,7 +24,7 @@
     );
 }
 
-/// The configuration of the exchanges, with addresses and one part changed.
+/// The configuration of the recorded exchanges, with addresses filled in and one text replaced.
 fn config(from: &str, to: &str) -> String {
     let text = include_str!("exchanges/config.json").replace(from, to);
     ["@discovery", "@peer0", "@peer1", "@s1"]
@@ -56,12 +57,12 @@
         (&["serve"], "GW_CONFIG is not set"),
     ];
     for (arguments, reason) in cases {
-        fails(run(arguments, None), reason);
+        assert_fails(run(arguments, None), reason);
     }
 }
 
 #[test]
-fn an_inherited_descriptor_that_is_no_listener_ends_with_one_line() {
+fn an_inherited_descriptor_that_is_no_listening_socket_ends_with_one_line() {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("inherits.json");
     std::fs::write(&path, config("", "")).unwrap();
     let program = env!("CARGO_BIN_EXE_applewall");
@@ -74,7 +75,7 @@
     for (number, redirection, reason) in cases {
         let mut shell = Command::new("/bin/sh");
         shell.args(["-c", &format!("exec \"$0\" serve {redirection}"), program]);
-        fails(
+        assert_fails(
             shell
                 .env("GW_CONFIG", &path)
                 .env("GW_FD", number)
@@ -101,7 +102,7 @@
         ("\"name\": \"n0\"", "", "GW_CONFIG: "),
     ];
     for (number, (from, to, reason)) in cases.into_iter().enumerate() {
-        fails(
+        assert_fails(
             run(
                 &["serve"],
                 Some((&format!("bad{number}"), &config(from, to))),
@@ -119,7 +120,7 @@
         "\"listen\": \"127.0.0.1:0\"",
         &format!("\"listen\": \"{address}\""),
     );
-    fails(
+    assert_fails(
         run(&["serve"], Some(("taken", &text))),
         &format!("cannot listen on {address}"),
     );
@@ -127,7 +128,7 @@
 
 #[test]
 fn the_shipped_operator_files_are_valid() {
-    for (file, on) in [
+    for (file, enabled) in [
         ("applewall.ini", "nothing on"),
         ("applewall.recommended.ini", "pace, bulkheads on"),
     ] {
@@ -138,7 +139,7 @@
         );
         let text = String::from_utf8(check.stdout).unwrap();
         assert!(
-            check.status.success() && text.contains(on),
+            check.status.success() && text.contains(enabled),
             "{file}: {text}"
         );
     }
@@ -155,7 +156,7 @@
 }
 
 #[test]
-fn an_invalid_operator_file_ends_with_one_line_that_names_the_place() {
+fn an_invalid_operator_file_ends_with_one_line_that_names_the_section_and_key() {
     let cases = [
         (
             "[pacing]",
@@ -175,22 +176,22 @@
             std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("bad{number}.ini"));
         std::fs::write(&path, text).unwrap();
         let path = path.to_str().unwrap();
-        for word in ["serve", "check"] {
+        for sub_command in ["serve", "check"] {
             let out = run(
-                &[word, "--operator", path],
+                &[sub_command, "--operator", path],
                 Some((&format!("good{number}"), &config("", ""))),
             );
-            fails(out, &format!("{path}: {reason}"));
+            assert_fails(out, &format!("{path}: {reason}"));
         }
     }
-    fails(
+    assert_fails(
         run(&["check", "--operator", "/nowhere.ini"], None),
         "/nowhere.ini: ",
     );
 }
 
 #[test]
-fn the_log_is_json_where_the_operator_asks_for_it() {
+fn the_log_is_json_when_the_operators_file_sets_it() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
     let text = config(
--- a/tests/decision_play/mod.rs
+++ b/tests/decision_play/mod.rs
@@ -61,7 +61,7 @@
 }
 
 /// A simulated fleet of decision policies.
-pub(crate) struct Play {
+pub(crate) struct Simulation {
     pub(crate) rng: SmallRng,
     pub(crate) settings: PolicySettings,
     pub(crate) policies: Vec<DecisionPolicy>,
@@ -120,7 +120,7 @@
     (0..ENDPOINTS).map(endpoint).collect()
 }
 
-impl Play {
+impl Simulation {
     /// A fleet of `node_count` nodes, of which the first `active_nodes` are simulated; the others are silent.
     pub(crate) fn new(
         seed: u64,
@@ -148,7 +148,7 @@
         let policies = (0..active_nodes)
             .map(|node| DecisionPolicy::new(settings_of(node), seed + u64::from(node), now))
             .collect();
-        let mut play = Play {
+        let mut simulation = Simulation {
             rng: SmallRng::seed_from_u64(seed),
             settings,
             policies,
@@ -160,13 +160,13 @@
             digest: Digest::new(),
             counts: [0; 4],
         };
-        play.handle_at_all(|| {
+        simulation.handle_at_all(|| {
             Event::EndpointUpdate(EndpointUpdateKind::Cached, endpoints(None, &[]).into())
         });
-        play.handle_at_all(|| {
+        simulation.handle_at_all(|| {
             Event::EndpointUpdate(EndpointUpdateKind::Snapshot, endpoints(None, &[]).into())
         });
-        play
+        simulation
     }
 
     /// Handles an event at all nodes.
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -1,4 +1,5 @@
-//! Golden files with the bytes that version 0.2.0 wrote, and the comparison with what is written now.
+//! Golden files with the bytes that version 0.2.0 wrote before identifiers were renamed, and the comparison with what is
+//! written now.
 #![allow(dead_code, reason = "no test program uses all of it")]
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
--- a/tests/golden_bench.rs
+++ b/tests/golden_bench.rs
@@ -1,12 +1,9 @@
-//! The bench's lines: each kind read to what it means, each action written as it was, and a whole play of both.
+//! The simulator's protocol: each kind of line is parsed and each action is written as recorded, and a whole run of the adapter
+//! has the recorded output.
 
-#![expect(
-    clippy::min_ident_chars,
-    reason = "short names are spelled out as the module is reworked"
-)]
 #![expect(
     clippy::too_many_lines,
-    reason = "long functions are split as the module is reworked"
+    reason = "one function has all fields of an event or all actions"
 )]
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -21,115 +18,112 @@
 use applewall::simulator::{self, InputLine, NodeEvent, ProtocolError, SimulatorRequest};
 use serde_json::{json, Value};
 
-/// The settings of the platform's committed file with times and rates that let a play go on, in one line.
-fn facts() -> String {
+/// The settings of the golden platform file in one line, with times and rates that suit the recorded run.
+fn settings_line() -> String {
     let platform: Value = serde_json::from_str(&golden::text("platform.json")).unwrap();
     let mut settings = platform["settings"].clone();
     for class in settings["classes"].as_array_mut().unwrap() {
         (class["objective_ns"], class["deadline_ns"]) = (500_000_000.into(), 2_000_000_000.into());
     }
-    for (at, value) in [
+    for (pointer, value) in [
         ("tariffs/0/refill", 4),
         ("tariffs/0/peak_units", 8),
         ("tariffs/0/never_over_depth", 60),
     ] {
-        *settings.pointer_mut(&format!("/{at}")).unwrap() = value.into();
+        *settings.pointer_mut(&format!("/{pointer}")).unwrap() = value.into();
     }
-    for at in [
+    for pointer in [
         "obligations/cold_ns",
         "obligations/fall_ns",
         "permissions/max_retry_after_ns",
     ] {
-        *settings.pointer_mut(&format!("/{at}")).unwrap() = 3_000_000_000u64.into();
+        *settings.pointer_mut(&format!("/{pointer}")).unwrap() = 3_000_000_000u64.into();
     }
     settings.to_string()
 }
 
+/// The recorded input, with the settings in place of `FACTS`.
 fn lines() -> Vec<String> {
     golden::text("bench_in.jsonl")
         .lines()
-        .map(|line| line.replace("FACTS", &facts()))
+        .map(|line| line.replace("FACTS", &settings_line()))
         .collect()
 }
 
-type Stage = (Box<PlatformSettings>, [Arc<[Value]>; 2]);
+/// What lines are parsed with: a node's settings, and the numbered endpoint lists.
+type Context = (Box<PlatformSettings>, [Arc<[Value]>; 2]);
 
-/// The settings with what only bench lines are read by: one instance's, and its numbered lists.
-fn stage() -> Stage {
+fn context() -> Context {
     let mut all = lines()
         .into_iter()
         .map(|line| simulator::parse_line(&line).unwrap());
-    let boots = all.by_ref().filter_map(|line| match line {
-        InputLine::NodeStart {
-            settings: facts, ..
-        } => Some(facts),
+    let node_settings = all.by_ref().filter_map(|line| match line {
+        InputLine::NodeStart { settings, .. } => Some(settings),
         _ => None,
     });
-    let facts = boots.take(2).last().unwrap();
-    let sheets = all.filter_map(|line| match line {
+    let settings = node_settings.take(2).last().unwrap();
+    let lists = all.filter_map(|line| match line {
         InputLine::EndpointList { entries, .. } => Some(entries.into()),
         _ => None,
     });
-    (facts, sheets.collect::<Vec<_>>().try_into().unwrap())
+    (settings, lists.collect::<Vec<_>>().try_into().unwrap())
 }
 
-/// A line read by position: its event's fields as JSON.
-fn read((facts, sheets): &Stage, line: &str) -> Result<Value, ProtocolError> {
+/// Parses a line; returns its fields as JSON.
+fn parse((settings, lists): &Context, line: &str) -> Result<Value, ProtocolError> {
     Ok(match simulator::parse_line(line)? {
-        InputLine::BatchStart {
-            now_ns: now,
-            batch: seq,
-        } => json!(["now", now, "seq", seq]),
+        InputLine::BatchStart { now_ns, batch } => json!(["now", now_ns, "seq", batch]),
         InputLine::BatchEnd => json!(["end"]),
         InputLine::NodeStart {
-            node: who,
+            node,
             seed,
-            settings: facts,
+            settings,
         } => {
-            json!(["who", who, "seed", seed, "me", facts.policy.node.0])
+            json!(["who", node, "seed", seed, "me", settings.policy.node.0])
         }
-        InputLine::NodeStop { node: who } => json!(["who", who]),
+        InputLine::NodeStop { node } => json!(["who", node]),
         InputLine::EndpointList {
-            list: sheet,
+            list: number,
             entries,
         } => {
             json!([
                 "sheet",
-                sheet,
+                number,
                 "members",
-                list(&simulator::parse_endpoints(facts, &entries)?)
+                endpoints_json(&simulator::parse_endpoints(settings, &entries)?)
             ])
         }
-        InputLine::Event { node: who, fields } => {
-            let sheet = |n: u64| sheets.get(n as usize).cloned();
-            json!([who, event(simulator::parse_event(facts, &fields, sheet)?)])
+        InputLine::Event { node, fields } => {
+            let list = |number: u64| lists.get(number as usize).cloned();
+            let event = simulator::parse_event(settings, &fields, list)?;
+            json!([node, event_json(event)])
         }
     })
 }
 
-fn list(members: &[Endpoint]) -> Value {
+fn endpoints_json(endpoints: &[Endpoint]) -> Value {
     let state = |state| match state {
         EndpointState::Ready => "ready",
         EndpointState::Draining => "draining",
         EndpointState::Removed => "gone",
     };
-    members
+    endpoints
         .iter()
-        .map(|m| {
+        .map(|endpoint| {
             json!([
-                &*m.id,
-                m.weight,
-                m.started_at_ns,
-                m.zone.0,
-                m.cell.0,
-                m.machine_type.0,
-                state(m.state)
+                &*endpoint.id,
+                endpoint.weight,
+                endpoint.started_at_ns,
+                endpoint.zone.0,
+                endpoint.cell.0,
+                endpoint.machine_type.0,
+                state(endpoint.state)
             ])
         })
         .collect()
 }
 
-fn event(event: NodeEvent) -> Value {
+fn event_json(event: NodeEvent) -> Value {
     let kind = |kind| match kind {
         EndpointUpdateKind::Cached => "cached",
         EndpointUpdateKind::Snapshot => "full",
@@ -150,81 +144,84 @@
     let event = match event {
         NodeEvent::Policy(event) => event,
         NodeEvent::HealthChecked {
-            endpoint: backend,
-            healthy: ok,
-            load_report: load,
-        } => return json!(["probed", &*backend, ok, load]),
+            endpoint,
+            healthy,
+            load_report,
+        } => return json!(["probed", &*endpoint, healthy, load_report]),
         NodeEvent::CounterRead { name, total } => return json!(["counted", name, total]),
     };
     match event {
-        Event::EndpointUpdate(how, members) => json!(["members", kind(how), list(&members)]),
-        Event::Request(r) => json!([
+        Event::EndpointUpdate(update, endpoints) => {
+            json!(["members", kind(update), endpoints_json(&endpoints)])
+        }
+        Event::Request(request) => json!([
             "request",
-            r.id.0,
+            request.id.0,
             "class",
-            r.class.0,
+            request.class.0,
             "plan",
-            r.plan.0,
+            request.plan.0,
             "customer",
-            &*r.customer,
+            &*request.customer,
             "units",
-            r.units,
+            request.units,
             "left",
-            r.time_left_ns,
+            request.time_left_ns,
             "repeat",
-            r.is_retry,
+            request.is_retry,
             "spread",
-            r.nodes.size,
+            request.nodes.size,
             "first",
-            r.nodes.first.0
+            request.nodes.first.0
         ]),
         Event::ResponseStarted { request, attempt } => json!(["started", request.0, attempt]),
-        Event::AttemptFinished(f) => json!([
+        Event::AttemptFinished(result) => json!([
             "finished",
-            f.request.0,
-            f.attempt,
-            &*f.endpoint,
-            outcome(f.outcome),
+            result.request.0,
+            result.attempt,
+            &*result.endpoint,
+            outcome(result.outcome),
             "latency",
-            f.latency_ns,
+            result.latency_ns,
             "closed",
-            f.request_complete,
+            result.request_complete,
             "cost",
-            f.settled_units.unwrap_or(0.0),
+            result.settled_units.unwrap_or(0.0),
             "load",
-            f.load_report
+            result.load_report
         ]),
         Event::ClientDisconnected(request) => json!(["left", request.0]),
         Event::TimerExpired(token) => json!(["timer", token]),
         Event::PeerMessage { from, text } => json!(["peer", from.0, text]),
-        Event::ReturnedToService(_) | Event::ZoneTrafficShares(_) => panic!("no line says that"),
+        Event::ReturnedToService(_) | Event::ZoneTrafficShares(_) => {
+            panic!("not an event of the protocol")
+        }
     }
 }
 
-/// Each line, what it is read as, and what is said where one of its places holds nothing or something else.
+/// For each line, what it is parsed to; and once for each kind of line, the error for other values in each of its fields.
 #[test]
-fn each_kind_of_line_is_read_and_refused_as_it_was() {
-    let mut now = String::new();
-    let (mut seen, stage) = (Vec::new(), stage());
-    for (line, plain) in lines().iter().zip(golden::text("bench_in.jsonl").lines()) {
+fn each_kind_of_line_is_parsed_or_refused_as_recorded() {
+    let mut parsed = String::new();
+    let (mut seen, context) = (Vec::new(), context());
+    for (line, recorded_line) in lines().iter().zip(golden::text("bench_in.jsonl").lines()) {
         let row: Vec<Value> = serde_json::from_str(line).unwrap();
-        now += &format!("{plain}\n  {}\n", read(&stage, line).unwrap());
-        // Refused once for each kind.
+        parsed += &format!("{recorded_line}\n  {}\n", parse(&context, line).unwrap());
         if seen.contains(&row[0]) {
             continue;
         }
-        for place in 0..row.len() {
+        for field in 0..row.len() {
             for other in [Value::Null, json!({}), json!(-1.5)] {
                 let mut row = row.clone();
-                row[place] = other.clone();
-                let said = read(&stage, &Value::from(row).to_string())
-                    .map_or_else(|e| e.to_string(), |read| read.to_string());
-                now += &format!("  [{place}] {other}: {said}\n");
+                row[field] = other.clone();
+                let result = parse(&context, &Value::from(row).to_string())
+                    .map_or_else(|error| error.to_string(), |value| value.to_string());
+                parsed += &format!("  [{field}] {other}: {result}\n");
             }
         }
         seen.push(row[0].clone());
     }
-    for torn in [
+    for malformed in [
         "",
         "[",
         "{}",
@@ -234,20 +231,21 @@
         r#"["Inventory",0,[1]]"#,
         r#"["Inventory",0,[["m",1,"s",0,"a","Lost"]]]"#,
     ] {
-        now += &format!("{torn}\n  {}\n", read(&stage, torn).unwrap_err());
+        let error = parse(&context, malformed).unwrap_err();
+        parsed += &format!("{malformed}\n  {error}\n");
     }
-    golden::assert_same("bench_read.txt", now.as_bytes());
+    golden::assert_same("bench_read.txt", parsed.as_bytes());
 }
 
 #[test]
-fn each_action_is_written_as_it_was() {
-    let (request, backend) = (RequestId(255), EndpointId::from("s \"ü\" 1"));
+fn each_action_is_written_as_recorded() {
+    let (request, endpoint) = (RequestId(255), EndpointId::from("s \"ü\" 1"));
     let text = || "a \"b\" ü\n".to_string();
-    let mut now = String::new();
-    let mut action = |action| simulator::write_action(&mut now, 3, &action);
+    let mut written = String::new();
+    let mut action = |action| simulator::write_action(&mut written, 3, &action);
     action(Action::StartAttempt {
         request,
-        endpoint: backend.clone(),
+        endpoint: endpoint.clone(),
         timeout_ns: Some(5),
     });
     action(Action::CancelAttempt {
@@ -263,10 +261,10 @@
         after_ns: 100,
         token: u64::MAX,
     });
-    let mut protocol_request = |request| simulator::write_request(&mut now, 3, &request);
-    protocol_request(SimulatorRequest::HealthCheck(backend.clone()));
-    protocol_request(SimulatorRequest::CloseIdleConnections(backend));
-    let mut action = |action| simulator::write_action(&mut now, 3, &action);
+    let mut protocol_request = |request| simulator::write_request(&mut written, 3, &request);
+    protocol_request(SimulatorRequest::HealthCheck(endpoint.clone()));
+    protocol_request(SimulatorRequest::CloseIdleConnections(endpoint));
+    let mut action = |action| simulator::write_action(&mut written, 3, &action);
     action(Action::SendGossip {
         peer: Some(NodeId(7)),
         text: text(),
@@ -281,7 +279,7 @@
         focal_rate: 12.25,
     }));
     action(Action::WatchEndpoints);
-    let mut protocol_request = |request| simulator::write_request(&mut now, 3, &request);
+    let mut protocol_request = |request| simulator::write_request(&mut written, 3, &request);
     protocol_request(SimulatorRequest::CloseEndpointWatch);
     protocol_request(SimulatorRequest::FetchEndpoints);
     protocol_request(SimulatorRequest::AddToCounter {
@@ -289,14 +287,14 @@
         amount: 1.5,
         ttl_ns: 9,
     });
-    simulator::write_exception(&mut now, 3, &text());
-    simulator::write_ready(&mut now, u64::MAX);
-    golden::assert_same("bench_actions.jsonl", now.as_bytes());
+    simulator::write_exception(&mut written, 3, &text());
+    simulator::write_ready(&mut written, u64::MAX);
+    golden::assert_same("bench_actions.jsonl", written.as_bytes());
 }
 
-/// The protocol has 0 where the policy sets no timeout and advises no wait.
+/// The protocol has 0 for an attempt without a timeout and for a rejection without `Retry-After`.
 #[test]
-fn an_action_without_a_timeout_or_a_wait_is_written_with_0() {
+fn an_action_without_a_timeout_or_a_retry_after_is_written_with_0() {
     let request = RequestId(255);
     let mut written = String::new();
     let attempt = Action::StartAttempt {
@@ -318,7 +316,7 @@
 }
 
 #[test]
-fn a_play_gets_the_same_lines_from_the_program() {
+fn the_recorded_input_gets_the_recorded_output_from_the_program() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_applewall-simulator-host"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
--- a/tests/golden_config.rs
+++ b/tests/golden_config.rs
@@ -1,4 +1,4 @@
-//! The configuration as the program shows it: what `check` says, and the published schemas.
+//! Golden files of the configuration: the output of `check`, and the published schemas.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -24,26 +24,26 @@
     String::from_utf8(out.stdout).unwrap()
 }
 
-/// Descriptions are for people: all else is for programs.
-fn without_descriptions(value: &mut Value) {
+/// Removes the descriptions, whose wording may change.
+fn remove_descriptions(value: &mut Value) {
     match value {
         Value::Object(map) => {
             map.retain(|key, value| key != "description" || !value.is_string());
-            map.values_mut().for_each(without_descriptions);
+            map.values_mut().for_each(remove_descriptions);
         }
-        Value::Array(row) => row.iter_mut().for_each(without_descriptions),
+        Value::Array(values) => values.iter_mut().for_each(remove_descriptions),
         _ => {}
     }
 }
 
 fn schema(arguments: &[&str]) -> Value {
     let mut schema: Value = serde_json::from_str(&run(arguments, &[])).unwrap();
-    without_descriptions(&mut schema);
+    remove_descriptions(&mut schema);
     schema
 }
 
 #[test]
-fn the_published_schemas_are_as_they_were() {
+fn the_published_schemas_are_as_recorded() {
     assert_eq!(run(&["schema"], &[]), run(&["schema", "operator"], &[]));
     for (file, arguments) in [
         ("schema_operator.json", &["schema"][..]),
@@ -56,35 +56,35 @@
     }
 }
 
-/// The committed file of an operator leaves out nothing that the schema names, so that each key is held by it.
+/// The golden operator's file has every key of the schema, so that a change of any key's name or value is noticed.
 #[test]
-fn every_section_and_key_is_in_the_committed_file() {
-    let (schema, mut section, mut held) = (schema(&["schema"]), String::new(), Vec::new());
+fn every_section_and_key_is_in_the_golden_operators_file() {
+    let (schema, mut section, mut in_file) = (schema(&["schema"]), String::new(), Vec::new());
     for line in golden::text("operator.ini").lines() {
         if let Some(name) = line.strip_prefix('[') {
             section = name.trim_end_matches(']').to_string();
         }
-        held.extend(
+        in_file.extend(
             line.split_once(" = ")
                 .map(|(key, _)| format!("{section}.{key}")),
         );
     }
-    let mut named = Vec::new();
+    let mut in_schema = Vec::new();
     for (section, value) in schema["properties"].as_object().unwrap() {
-        let at = value["$ref"].as_str().unwrap().trim_start_matches('#');
-        let keys = schema.pointer(at).unwrap()["properties"]
+        let pointer = value["$ref"].as_str().unwrap().trim_start_matches('#');
+        let keys = schema.pointer(pointer).unwrap()["properties"]
             .as_object()
             .unwrap()
             .keys();
-        named.extend(keys.map(|key| format!("{section}.{key}")));
+        in_schema.extend(keys.map(|key| format!("{section}.{key}")));
     }
-    held.sort();
-    named.sort();
-    assert_eq!(held, named);
+    in_file.sort();
+    in_schema.sort();
+    assert_eq!(in_file, in_schema);
 }
 
 #[test]
-fn check_says_what_it_said_of_a_file_and_of_the_variables_before_it() {
+fn check_prints_the_recorded_settings_of_a_file_and_of_variables_that_override_it() {
     let (platform, operator) = (golden::path("platform.json"), golden::path("operator.ini"));
     let (platform, operator) = (platform.to_str().unwrap(), operator.to_str().unwrap());
     let config = ("GW_CONFIG", platform);
@@ -95,10 +95,10 @@
         ("GW_DISCOVERY", "127.0.0.1:2"),
         ("GW_OPERATOR", "127.0.0.1:3"),
     ];
-    let mut now = run(&["check", "--operator", operator], &[config]);
-    now += &run(&["check"], &variables);
+    let mut output = run(&["check", "--operator", operator], &[config]);
+    output += &run(&["check"], &variables);
     golden::assert_same(
         "check.txt",
-        now.replace(operator, "operator.ini").as_bytes(),
+        output.replace(operator, "operator.ini").as_bytes(),
     );
 }
--- a/tests/golden_datagrams.rs
+++ b/tests/golden_datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes, of every kind: decoded to what they were encoded from, and encoded again to the same bytes.
+//! Golden datagrams of every kind between nodes: they decode to the messages they encode, and encode to the same bytes again.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -17,10 +17,9 @@
 use datagrams::{of_kind, recorded, RecordedDatagram, KINDS};
 use support::policy::{endpoint, settings, PolicyDriver, SAFE};
 
-/// Longest datagram.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// A zone's number, and its good, failing and dead sums and its share of the traffic.
+/// A zone's number; its good, failing and dead sums, and its share of the traffic.
 type ZoneReport = (u16, [f64; 4]);
 
 #[test]
@@ -45,7 +44,7 @@
         let foreign = datagram.of_other_version();
         assert!(
             !(kind.matches)(&foreign) && KINDS.iter().all(|kind| (kind.recode)(&foreign).is_none()),
-            "{foreign} of another version is decoded"
+            "{foreign} of another version matches or is decoded"
         );
         lines += &format!("{}\t{valid_prefixes}\t{text}\n", kind.name);
     }
@@ -135,7 +134,8 @@
     }
 }
 
-/// What nodes have to agree on without a message: the fingerprint of a name, who aggregates whom, whose turn a draw is.
+/// Values that all nodes have to compute alike without a message: fingerprints of names, ranks that choose aggregators, and
+/// periodic draws.
 #[test]
 fn fingerprints_ranks_and_draws_are_as_recorded() {
     let mut lines = String::new();
@@ -154,7 +154,7 @@
     assert_eq!((units_between(4090, 6), units_between(6, 6)), (3.0, 0.0));
 }
 
-/// A usage report, as another node sends it.
+/// A usage report of a peer.
 fn usage_report() -> String {
     let report = Record::Usage(UsageReport {
         plan: PlanId(0),
@@ -168,22 +168,22 @@
     datagram
 }
 
-/// Datagrams that no node of this version sends.
+/// Malformed variants of a datagram, which no node of this version sends.
 fn malformed(datagram: &RecordedDatagram) -> [String; 5] {
     let text = &datagram.text;
     [
         datagram.of_other_version(),
         format!("{text}="),
-        // Malformed in the last field alone.
+        // Malformed in the last field only.
         format!("{}=", &text[..text.len() - 1]),
         text[..3].to_string(),
         String::new(),
     ]
 }
 
-/// Sends the recorded datagrams, each after malformed ones where these are wanted and before a further one; returns what
-/// the node sent, and its state.
-fn play(with_malformed: bool, further: Option<&str>) -> (Vec<String>, Vec<u8>) {
+/// A node receives the recorded datagrams, each after its malformed variants if `with_malformed`, and followed by
+/// `additional`; returns what the node sent, and its snapshot.
+fn receive_recorded(with_malformed: bool, additional: Option<&str>) -> (Vec<String>, Vec<u8>) {
     let endpoints: Vec<Endpoint> = (0..3)
         .map(|number| endpoint(&format!("b{number}"), 0))
         .collect();
@@ -199,7 +199,7 @@
             assert_eq!(driver.handle(message(text)), [], "{text}");
         }
         driver.handle(message(&datagram.text));
-        if let Some(text) = further {
+        if let Some(text) = additional {
             driver.handle(message(text));
         }
     }
@@ -210,13 +210,13 @@
 #[test]
 fn malformed_datagrams_among_valid_ones_change_nothing() {
     let report = usage_report();
-    let undisturbed = play(false, Some(&report));
+    let expected = receive_recorded(false, Some(&report));
     assert!(
-        play(true, Some(&report)) == undisturbed,
+        receive_recorded(true, Some(&report)) == expected,
         "malformed datagrams changed the state"
     );
     assert!(
-        play(false, None) != undisturbed,
+        receive_recorded(false, None) != expected,
         "the usage report changed nothing"
     );
 }
--- a/tests/golden_decisions.rs
+++ b/tests/golden_decisions.rs
@@ -11,14 +11,14 @@
 mod support;
 
 use applewall::api::*;
-use decision_play::{endpoints, Conditions, Play};
+use decision_play::{endpoints, Conditions, Simulation};
 use support::fleet::encode_load_statistics;
 use support::policy::{endpoint, MILLISECOND, SECOND};
 
 const GOLDEN: &str = include_str!("golden/decisions.txt");
 
 /// Simulates all sections for one size of fleet.
-fn play(
+fn simulate(
     name: &str,
     seed: u64,
     node_count: u32,
@@ -32,10 +32,10 @@
         max_datagram_delay_ms: 40,
         ..Conditions::default()
     };
-    let mut play = Play::new(seed, node_count, active_nodes, messages_per_second);
-    play.advance(4 * SECOND, usual);
-    play.section(lines, &format!("{name} calm"));
-    play.advance(
+    let mut simulation = Simulation::new(seed, node_count, active_nodes, messages_per_second);
+    simulation.advance(4 * SECOND, usual);
+    simulation.section(lines, &format!("{name} calm"));
+    simulation.advance(
         4 * SECOND,
         Conditions {
             failed: 8,
@@ -47,8 +47,8 @@
             ..usual
         },
     );
-    play.section(lines, &format!("{name} faults"));
-    play.advance(
+    simulation.section(lines, &format!("{name} faults"));
+    simulation.advance(
         3 * SECOND,
         Conditions {
             failing_endpoint: Some(4),
@@ -56,8 +56,8 @@
             ..usual
         },
     );
-    play.section(lines, &format!("{name} one backend fails"));
-    play.advance(
+    simulation.section(lines, &format!("{name} one backend fails"));
+    simulation.advance(
         5 * SECOND,
         Conditions {
             demand: 250,
@@ -67,47 +67,47 @@
             ..usual
         },
     );
-    play.section(lines, &format!("{name} overload"));
-    play.advance(4 * SECOND, usual);
-    play.section(lines, &format!("{name} recovery"));
-    let started_at = play.now;
-    play.handle_at_all(|| {
+    simulation.section(lines, &format!("{name} overload"));
+    simulation.advance(4 * SECOND, usual);
+    simulation.section(lines, &format!("{name} recovery"));
+    let started_at = simulation.now;
+    simulation.handle_at_all(|| {
         Event::EndpointUpdate(
             EndpointUpdateKind::Delta,
             endpoints(Some((2, started_at)), &[0, 5])[..6].into(),
         )
     });
-    play.advance(
+    simulation.advance(
         3 * SECOND,
         Conditions {
             demand: 80,
             ..usual
         },
     );
-    play.handle_at_all(|| Event::EndpointUpdate(EndpointUpdateKind::Failed, [].into()));
-    play.advance(SECOND, usual);
-    play.section(lines, &format!("{name} drain and slow start"));
-    play.handle_at_all(|| {
+    simulation.handle_at_all(|| Event::EndpointUpdate(EndpointUpdateKind::Failed, [].into()));
+    simulation.advance(SECOND, usual);
+    simulation.section(lines, &format!("{name} drain and slow start"));
+    simulation.handle_at_all(|| {
         Event::EndpointUpdate(
             EndpointUpdateKind::Snapshot,
             endpoints(None, &[])[3..].into(),
         )
     });
     let returned = endpoints(None, &[])[7].clone();
-    play.handle(1, Event::ReturnedToService(returned), usual);
-    play.handle(2, Event::ZoneTrafficShares(vec![0.25, 1.0]), usual);
-    play.advance(
+    simulation.handle(1, Event::ReturnedToService(returned), usual);
+    simulation.handle(2, Event::ZoneTrafficShares(vec![0.25, 1.0]), usual);
+    simulation.advance(
         3 * SECOND,
         Conditions {
             demand: 60,
             ..usual
         },
     );
-    play.section(
+    simulation.section(
         lines,
         &format!("{name} full list, maintenance, zone shares"),
     );
-    play.advance(
+    simulation.advance(
         3 * SECOND,
         Conditions {
             datagrams_lost: 60,
@@ -116,20 +116,20 @@
             ..usual
         },
     );
-    play.section(lines, &format!("{name} lost and late datagrams"));
-    play.hot_restart(1);
-    play.advance(
+    simulation.section(lines, &format!("{name} lost and late datagrams"));
+    simulation.hot_restart(1);
+    simulation.advance(
         3 * SECOND,
         Conditions {
             demand: 70,
             ..usual
         },
     );
-    play.section(lines, &format!("{name} hand-over"));
+    simulation.section(lines, &format!("{name} hand-over"));
     // The clock jumps; then there are so few requests that customers without new ones are forgotten.
-    play.now += 2 * SECOND;
-    play.advance(12 * SECOND, Conditions { demand: 2, ..usual });
-    play.advance(
+    simulation.now += 2 * SECOND;
+    simulation.advance(12 * SECOND, Conditions { demand: 2, ..usual });
+    simulation.advance(
         2 * SECOND,
         Conditions {
             demand: 120,
@@ -137,11 +137,11 @@
             ..usual
         },
     );
-    play.section(lines, &format!("{name} gap, forgetting, surge"));
+    simulation.section(lines, &format!("{name} gap, forgetting, surge"));
 }
 
 /// Simulates many endpoints, of which each node uses a subset, and rarer conditions.
-fn play_many_endpoints(
+fn simulate_many_endpoints(
     name: &str,
     seed: u64,
     node_count: u32,
@@ -154,7 +154,7 @@
         max_datagram_delay_ms: 40,
         ..Conditions::default()
     };
-    let mut play = Play::new(seed, node_count, active_nodes, 40.0);
+    let mut simulation = Simulation::new(seed, node_count, active_nodes, 40.0);
     let many_endpoints = |started: Option<u64>, ready: u32| -> Vec<Endpoint> {
         let endpoint = |number: u32| Endpoint {
             machine_type: MachineTypeId(number % 2),
@@ -169,14 +169,14 @@
         };
         (0..48).map(endpoint).collect()
     };
-    let started_at = play.now;
-    play.handle_at_all(|| {
+    let started_at = simulation.now;
+    simulation.handle_at_all(|| {
         Event::EndpointUpdate(
             EndpointUpdateKind::Snapshot,
             many_endpoints(Some(started_at), 48).into(),
         )
     });
-    play.advance(
+    simulation.advance(
         5 * SECOND,
         Conditions {
             demand: 150,
@@ -184,8 +184,8 @@
             ..usual
         },
     );
-    play.section(lines, &format!("{name} all backends start at once"));
-    play.advance(
+    simulation.section(lines, &format!("{name} all backends start at once"));
+    simulation.advance(
         5 * SECOND,
         Conditions {
             reset: 70,
@@ -194,8 +194,8 @@
             ..usual
         },
     );
-    play.section(lines, &format!("{name} connections break"));
-    play.advance(
+    simulation.section(lines, &format!("{name} connections break"));
+    simulation.advance(
         5 * SECOND,
         Conditions {
             failed: 75,
@@ -203,8 +203,8 @@
             ..usual
         },
     );
-    play.section(lines, &format!("{name} retries run out"));
-    play.advance(
+    simulation.section(lines, &format!("{name} retries run out"));
+    simulation.advance(
         5 * SECOND,
         Conditions {
             failed: 40,
@@ -213,28 +213,28 @@
             ..usual
         },
     );
-    play.section(lines, &format!("{name} late failures of keyed requests"));
-    play.handle_at_all(|| {
+    simulation.section(lines, &format!("{name} late failures of keyed requests"));
+    simulation.handle_at_all(|| {
         Event::EndpointUpdate(
             EndpointUpdateKind::Snapshot,
             many_endpoints(None, 10).into(),
         )
     });
-    play.advance(
+    simulation.advance(
         4 * SECOND,
         Conditions {
             timed_out: 15,
             ..usual
         },
     );
-    play.handle_at_all(|| {
+    simulation.handle_at_all(|| {
         Event::EndpointUpdate(EndpointUpdateKind::Delta, many_endpoints(None, 31).into())
     });
-    play.advance(3 * SECOND, usual);
-    play.section(lines, &format!("{name} most backends go, some come back"));
+    simulation.advance(3 * SECOND, usual);
+    simulation.section(lines, &format!("{name} most backends go, some come back"));
     for _ in 0..6 {
-        play.now += 450 * MILLISECOND;
-        play.advance(
+        simulation.now += 450 * MILLISECOND;
+        simulation.advance(
             500 * MILLISECOND,
             Conditions {
                 demand: 80,
@@ -243,18 +243,18 @@
             },
         );
     }
-    play.section(lines, &format!("{name} the clock jumps"));
+    simulation.section(lines, &format!("{name} the clock jumps"));
     let implausible =
         encode_load_statistics([900.0, 700.0, 0.0, 0.0, 0.0, 100.0, 400.0, 90.0, 700.0]);
     for _ in 0..20 {
-        play.handle_at_all(|| Event::PeerMessage {
+        simulation.handle_at_all(|| Event::PeerMessage {
             from: NodeId(node_count - 1),
             text: implausible.clone(),
         });
-        play.advance(200 * MILLISECOND, usual);
+        simulation.advance(200 * MILLISECOND, usual);
     }
-    play.section(lines, &format!("{name} a peer's wild statistics"));
-    play.advance(
+    simulation.section(lines, &format!("{name} a peer's wild statistics"));
+    simulation.advance(
         12 * SECOND,
         Conditions {
             demand: 3,
@@ -263,34 +263,34 @@
             ..usual
         },
     );
-    play.advance(8 * SECOND, Conditions { demand: 3, ..usual });
-    play.section(lines, &format!("{name} little traffic"));
-    play.advance(
+    simulation.advance(8 * SECOND, Conditions { demand: 3, ..usual });
+    simulation.section(lines, &format!("{name} little traffic"));
+    simulation.advance(
         3 * SECOND,
         Conditions {
             demand: 300,
             ..usual
         },
     );
-    play.advance(
+    simulation.advance(
         6 * SECOND,
         Conditions {
             demand: 10,
             ..usual
         },
     );
-    play.section(lines, &format!("{name} a surge after silence"));
+    simulation.section(lines, &format!("{name} a surge after silence"));
 }
 
 #[test]
-fn every_decision_of_a_seeded_play_is_as_recorded() {
+fn every_decision_of_the_seeded_simulations_is_as_recorded() {
     let mut lines = String::new();
-    play("small", 11, 4, 4, 100.0, &mut lines);
-    play("medium", 12, 10, 10, 40.0, &mut lines);
-    play("large", 13, 160, 12, 40.0, &mut lines);
-    play("no messages taken in", 14, 4, 4, 0.0, &mut lines);
-    play_many_endpoints("wide", 15, 160, 8, &mut lines);
-    play_many_endpoints("wide small", 16, 3, 3, &mut lines);
-    play_many_endpoints("wide sets", 17, 48, 12, &mut lines);
+    simulate("small", 11, 4, 4, 100.0, &mut lines);
+    simulate("medium", 12, 10, 10, 40.0, &mut lines);
+    simulate("large", 13, 160, 12, 40.0, &mut lines);
+    simulate("no messages taken in", 14, 4, 4, 0.0, &mut lines);
+    simulate_many_endpoints("wide", 15, 160, 8, &mut lines);
+    simulate_many_endpoints("wide small", 16, 3, 3, &mut lines);
+    simulate_many_endpoints("wide sets", 17, 48, 12, &mut lines);
     assert_eq!(lines, GOLDEN, "decisions differ from the recorded ones");
 }
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -1,4 +1,4 @@
-//! Files on disk, and commands and responses at the admin address, as version 0.2.0 wrote them.
+//! Golden files on disk, and admin commands and responses, as version 0.2.0 wrote them.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_state_file_is_read_and_written_again_to_the_same_bytes() {
+fn the_state_file_is_decoded_and_encoded_again_to_the_same_bytes() {
     for (file, ids) in [
         ("state.json", &["s-2", "s \"ü\" 1"][..]),
         ("state_empty.json", &[]),
@@ -34,15 +34,16 @@
             maintenance_set(ids)
         );
     }
-    // Keys besides are passed over, an older version is read, a newer one is not.
-    let also = [
+    // Unknown keys are ignored; an older version is read, a newer one is refused.
+    let readable = [
         r#"{"applewall_state":1,"more":[1],"withheld":["a"]}"#,
         r#"{"withheld":["a"],"applewall_state":0}"#,
     ];
-    also.iter()
+    readable
+        .iter()
         .for_each(|text| assert_eq!(state_file::decode(text).unwrap(), maintenance_set(&["a"])));
     let complete = golden::text("state.json");
-    let wrong = [
+    let refused = [
         (
             &complete[..complete.len() - 1],
             "the state file is truncated or of another program: EOF while parsing an object at line 1 column 52",
@@ -65,16 +66,16 @@
             "the state file is truncated or of another program: invalid type: integer `7`, expected a sequence",
         ),
     ];
-    wrong.iter().for_each(|(text, why)| {
+    refused.iter().for_each(|(text, error)| {
         assert_eq!(
             state_file::decode(text).unwrap_err().to_string(),
-            *why,
+            *error,
             "{text}"
         );
     });
 }
 
-fn entry(
+fn member(
     endpoint: &str,
     az: &str,
     pod_group: i64,
@@ -95,7 +96,7 @@
 fn snapshot(members: &[(&str, MemberRecord)]) -> Snapshot {
     let members = members
         .iter()
-        .map(|(id, entry)| (id.to_string(), entry.clone()))
+        .map(|(id, member)| (id.to_string(), member.clone()))
         .collect();
     Snapshot {
         cluster: 0xfeed_0000_0000_0001,
@@ -111,7 +112,7 @@
     cluster: None,
 };
 
-/// Why a snapshot is refused.
+/// The error with which a snapshot is refused.
 fn refusal(bytes: &[u8], limits: &SnapshotLimits) -> String {
     Snapshot::decode(bytes, limits).unwrap_err().to_string()
 }
@@ -121,7 +122,7 @@
     let full = [
         (
             "s \"ü\" 1",
-            entry(
+            member(
                 "10.1.0.18:8443",
                 "zone ü",
                 1_000_000,
@@ -132,11 +133,11 @@
         ),
         (
             "s-2",
-            entry("[2001:db8::1]:80", "", -1, MemberState::Terminating, 0.0, 0),
+            member("[2001:db8::1]:80", "", -1, MemberState::Terminating, 0.0, 0),
         ),
         (
             "s-3",
-            entry(
+            member(
                 "[::ffff:10.0.0.1]:1",
                 "b",
                 0,
@@ -146,9 +147,9 @@
             ),
         ),
     ];
-    let plain = [(
+    let minimal = [(
         "s-1",
-        entry("10.0.0.1:80", "", -1, MemberState::InService, 0.0, 0),
+        member("10.0.0.1:80", "", -1, MemberState::InService, 0.0, 0),
     )];
     for (file, members) in [
         ("roster.snapshot", &full[..]),
@@ -160,10 +161,10 @@
             Ok(snapshot(members))
         );
     }
-    // Entries may leave out all but where they listen.
+    // All fields of a member but its address are optional.
     assert_eq!(
         Snapshot::decode(&golden::bytes("roster_bare.snapshot"), &LIMITS),
-        Ok(snapshot(&plain))
+        Ok(snapshot(&minimal))
     );
 }
 
@@ -173,10 +174,11 @@
     let head = |head: &str| [head.as_bytes(), &bytes[18..]].concat();
     let mut flipped = bytes.clone();
     flipped[100] ^= 1;
-    let torn = "snapshot is incomplete or changed: its length or checksum differs from its header";
-    for (bytes, why) in [
-        (&bytes[..bytes.len() - 1], torn),
-        (&flipped, torn),
+    let incomplete =
+        "snapshot is incomplete or changed: its length or checksum differs from its header";
+    for (bytes, error) in [
+        (&bytes[..bytes.len() - 1], incomplete),
+        (&flipped, incomplete),
         (
             &bytes[..12],
             "not a membership snapshot: header line has no `applewall-roster` with a version",
@@ -194,7 +196,7 @@
             "snapshot has version 0, this program reads 1",
         ),
     ] {
-        assert_eq!(refusal(bytes, &LIMITS), why);
+        assert_eq!(refusal(bytes, &LIMITS), error);
     }
 }
 
@@ -223,7 +225,7 @@
     );
 }
 
-/// A registry's values, one a line, and what is wrong with them below.
+/// The golden file has a registry's value on each line, and below it the parsed record or the error.
 #[test]
 fn registry_values_are_parsed_as_recorded() {
     let mut parsed = String::new();
@@ -231,8 +233,8 @@
     for value in recorded.lines().filter(|line| !line.starts_with("  ")) {
         let allowed = serde_json::from_str(r#""10.0.0.0/8, 2001:db8::/32""#).unwrap();
         parsed += &match MemberRecord::parse(value.as_bytes(), &allowed) {
-            Ok(entry) => format!("{value}\n  {}\n", serde_json::to_string(&entry).unwrap()),
-            Err(why) => format!("{value}\n  refused: {why}\n"),
+            Ok(record) => format!("{value}\n  {}\n", serde_json::to_string(&record).unwrap()),
+            Err(error) => format!("{value}\n  refused: {error}\n"),
         };
     }
     golden::assert_same("registry_values.txt", parsed.as_bytes());
@@ -241,14 +243,15 @@
 #[test]
 fn admin_commands_are_parsed_and_responses_written_as_recorded() {
     let id = || "s-1".to_string();
-    let good = [
+    let commands = [
         ("READY", AdminCommand::Ready),
         ("\tDISABLE  s-1 ", AdminCommand::Disable(id())),
         ("ENABLE s-1", AdminCommand::Enable(id())),
         ("DRAIN", AdminCommand::Drain),
         ("UNDRAIN", AdminCommand::Undrain),
     ];
-    good.into_iter()
+    commands
+        .into_iter()
         .for_each(|(line, command)| assert_eq!(line.parse(), Ok(command), "{line}"));
     let responses = [
         AdminResponse::Done(String::new()),
@@ -261,7 +264,7 @@
     );
 }
 
-/// Starts the daemon on a listener that it inherits, so that it writes its state to `folder`.
+/// Starts the daemon with an inherited listener, so that it writes its state to `folder`.
 fn start_daemon(folder: &Path) -> Daemon {
     let unused = SocketAddr::from(([127, 0, 0, 1], 9));
     let settings = DaemonSettings {
@@ -281,7 +284,7 @@
     launcher.inheriting(&inherited).start().unwrap()
 }
 
-/// Sends bytes to the admin address, and returns the response up to the end of the connection.
+/// Sends bytes to the admin address; returns the response up to the end of the connection.
 fn admin_response(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -292,7 +295,7 @@
     response
 }
 
-/// The bytes of a command in `admin.txt`.
+/// The bytes that a command in `admin.txt` describes.
 fn command_bytes(line: &str) -> Vec<u8> {
     let text: String = serde_json::from_str(line).unwrap();
     let text = [504, 505, 600].iter().fold(text, |text, count| {
@@ -305,10 +308,10 @@
     text.chars().flat_map(bytes).collect()
 }
 
-/// `admin.txt` has each command's bytes as JSON text, where `@N` stands for N times an x and ÿ for a byte that is no
-/// text, and the response below it.
+/// `admin.txt` has each command as a JSON string, where `@N` stands for N times an x and ÿ for a byte that is not UTF-8, and
+/// the response below it.
 #[tokio::test(flavor = "multi_thread")]
-async fn admin_commands_get_the_recorded_responses_and_leave_the_recorded_file() {
+async fn admin_commands_get_the_recorded_responses_and_write_the_recorded_state_file() {
     let folder = tempfile::tempdir().unwrap();
     let state_file = folder.path().join("applewall-n0.state");
     std::fs::write(&state_file, golden::bytes("state.json")).unwrap();
--- a/tests/golden_handover.rs
+++ b/tests/golden_handover.rs
@@ -1,4 +1,4 @@
-//! The snapshot that a hot restart transfers, as bytes: of one short play, and of the process that takes over at once.
+//! The golden snapshot that a hot restart transfers: that of a short simulation, and that of the process that imports it.
 
 mod golden;
 mod hot_restart_snapshot;
@@ -8,7 +8,7 @@
 use applewall::decision::hashing::fingerprint;
 use applewall::decision::DecisionPolicy;
 use applewall::simulator::write_action;
-use hot_restart_snapshot::play::{endpoints, play, settings, take_over, END};
+use hot_restart_snapshot::play::{endpoints, settings, simulate, take_over, END};
 use hot_restart_snapshot::{decode, encode, DecodedSnapshot, CHECKSUM};
 use support::policy::{attempted_endpoint, MILLISECOND, SECOND};
 
@@ -17,12 +17,12 @@
 }
 
 #[test]
-fn the_snapshot_of_a_play_is_as_recorded() {
-    let mut driver = play();
+fn the_snapshot_of_the_simulation_is_as_recorded() {
+    let mut driver = simulate();
     assert_eq!(driver.now, END);
     golden::assert_same(
         "handover.bin",
-        &driver.policy.export_snapshot().expect("written"),
+        &driver.policy.export_snapshot().expect("exported"),
     );
 }
 
@@ -30,10 +30,10 @@
 fn a_new_process_exports_the_state_that_it_imported_with_half_of_each_ceiling() {
     let bytes = recorded();
     let again = take_over(&bytes)
-        .expect("read")
+        .expect("imported")
         .policy
         .export_snapshot()
-        .expect("written");
+        .expect("exported");
     golden::assert_same("handover_again.bin", &again);
     let (mut first, again) = (decode(&bytes), decode(&again));
     for customer in first.customers.values_mut() {
@@ -43,7 +43,7 @@
     }
     for (record, listed) in first.endpoints.iter_mut().zip(endpoints()) {
         let is_ready = listed.state == EndpointState::Ready;
-        // The list is of an earlier moment than the state.
+        // The transferred list is older than the snapshot.
         record.endpoint.2 = listed.started_at_ns;
         record.endpoint.6 = u32::from(!is_ready);
         record.ready_removed_in_subset[0] = is_ready;
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn the_form_of_a_snapshot_is_as_recorded() {
+fn the_encoding_of_a_snapshot_is_as_recorded() {
     let bytes = recorded();
     let snapshot = decode(&bytes);
     assert!(
         encode(&snapshot) == bytes,
-        "a field is longer, shorter or elsewhere"
+        "a field has another type or place"
     );
     assert_eq!(
         (
@@ -182,7 +182,7 @@
 
 #[test]
 fn decisions_after_an_import_are_as_recorded() {
-    let mut driver = take_over(&recorded()).expect("read");
+    let mut driver = take_over(&recorded()).expect("imported");
     let mut lines = format!("{} kept\n", driver.policy.entry_count());
     for round in 0..30usize {
         let customer = ["wide 47", "near", "own", "told", "far", "new"][round % 6];
@@ -232,7 +232,7 @@
             "state snapshot does not match the settings"
         );
     }
-    // A form with fewer fields, as an older process may have, and bytes that are no snapshot.
+    // An encoding with fewer fields, as an older version may have, and bytes that are no snapshot.
     let shorter = postcard::to_stdvec_crc32(
         &(snapshot.shape, snapshot.started_at, snapshot.listed),
         CHECKSUM.digest(),
@@ -241,21 +241,20 @@
     let mut flipped = bytes.clone();
     flipped[bytes.len() / 2] ^= 1;
     let end = "Hit the end of buffer, expected more data";
-    for (bytes, why) in [
+    for (bytes, error) in [
         (&shorter[..], end),
         (&bytes[..0], end),
         (&bytes[..bytes.len() / 2], end),
         (&flipped, "Bad CRC while deserializing"),
     ] {
-        let why = format!("malformed state snapshot or incompatible version: {why}");
-        assert_eq!(refusal(bytes), why);
+        let expected = format!("malformed state snapshot or incompatible version: {error}");
+        assert_eq!(refusal(bytes), expected);
     }
-    let mut untouched = DecisionPolicy::new(settings(), 99, END);
+    let mut policy = DecisionPolicy::new(settings(), 99, END);
     let fresh = DecisionPolicy::new(settings(), 99, END)
         .export_snapshot()
         .unwrap();
     assert!(
-        untouched.import_snapshot(&flipped).is_err()
-            && untouched.export_snapshot().unwrap() == fresh
+        policy.import_snapshot(&flipped).is_err() && policy.export_snapshot().unwrap() == fresh
     );
 }
--- a/tests/hot_restart_snapshot/play.rs
+++ b/tests/hot_restart_snapshot/play.rs
@@ -95,7 +95,7 @@
 }
 
 /// Sends a request and ends its attempt; class, plan, customer and outcome vary by round.
-fn play_request(driver: &mut PolicyDriver, round: u32) {
+fn simulate_request(driver: &mut PolicyDriver, round: u32) {
     let number = round as usize;
     let customer = number / 9 % 3;
     let (id, actions) = driver.request_with_node_set(
@@ -114,11 +114,11 @@
 }
 
 /// Simulates until [`END`].
-pub(crate) fn play() -> PolicyDriver {
+pub(crate) fn simulate() -> PolicyDriver {
     let mut driver = PolicyDriver::new(settings(), 7, &endpoints());
     let peer_records = peer_records();
     for round in 0..42 {
-        play_request(&mut driver, round);
+        simulate_request(&mut driver, round);
         let (from, customer, record) = peer_records[round as usize % 4];
         for datagram in datagrams(from, 40 + from, customer, record) {
             driver.handle(datagram);
--- a/tests/module_dependencies.rs
+++ b/tests/module_dependencies.rs
@@ -1,12 +1,12 @@
-//! Imports run one way: no circle among the modules of the library or of the daemon, and the library's in the order that
-//! docs/architecture.md gives.
+//! The imports among the modules of the library, and among those of the daemon, have no cycle; those of the library follow the
+//! order of layers in docs/architecture.md.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The library's modules, each of which may use those before it. A module that is not named here has the place of the
-/// one that it is below.
+/// The layers of the library; each may use those before it. A module that is not listed belongs to the layer of its closest
+/// listed ancestor.
 const LIBRARY_ORDER: [&str; 6] = [
     "api",
     "decision",
@@ -16,8 +16,8 @@
     "simulator",
 ];
 
-/// A module's place in the order: that of the longest name that it is at or below.
-fn place(module: &str) -> Option<usize> {
+/// The index of a module's layer: that of the longest listed path that the module is at or below.
+fn layer(module: &str) -> Option<usize> {
     let is_at_or_below = |name: &str| {
         module == name
             || module
@@ -44,7 +44,7 @@
     files
 }
 
-/// The path of a file's module, as its names from the crate's root on.
+/// The path of a file's module from the crate's root.
 fn module_path(source: &Path, file: &Path) -> Vec<String> {
     let relative = file.strip_prefix(source).expect("below the source");
     let mut names: Vec<String> = relative
@@ -60,7 +60,7 @@
     path.iter().any(|name| name == "tests" || name == "golden")
 }
 
-/// Modules that a file's text names by `crate::` or `super::`, as far as they are files.
+/// Modules with files of their own that a file's text refers to by `crate::` or `super::`.
 fn imports(text: &str, own: &[String], modules: &BTreeSet<Vec<String>>) -> BTreeSet<Vec<String>> {
     let mut found = BTreeSet::new();
     let code = text
@@ -84,7 +84,7 @@
     found
 }
 
-/// Modules that a path names after its beginning; one level of braces is followed.
+/// Modules that the rest of a path after `base` refers to; braces are expanded.
 fn resolve(rest: &str, base: &[String], modules: &BTreeSet<Vec<String>>) -> Vec<Vec<String>> {
     if let Some(group) = rest.strip_prefix('{') {
         let end = group.find('}').unwrap_or(group.len());
@@ -112,7 +112,7 @@
     }
 }
 
-/// The imports among the modules of a crate root's folder below these names.
+/// The imports among the modules of a crate's source folder; `is_included` selects top-level modules by name.
 fn graph(root: &str, is_included: impl Fn(&str) -> bool) -> Graph {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join(root);
     let files = source_files(&source);
@@ -129,7 +129,7 @@
         let used = imports(&text, path, &modules)
             .into_iter()
             .map(|other| other.join("::"))
-            // A module and those below it are one part.
+            // Imports between a module and its descendants are no dependency.
             .filter(|other| {
                 !own.starts_with(&format!("{other}::")) && !other.starts_with(&format!("{own}::"))
             });
@@ -151,8 +151,8 @@
     graph("src/daemon", |name| name != "main")
 }
 
-/// A circle of imports, if there is one.
-fn circle(graph: &Graph) -> Option<Vec<String>> {
+/// A cycle of imports, if there is one.
+fn cycle(graph: &Graph) -> Option<Vec<String>> {
     fn visit<'a>(
         module: &'a str,
         graph: &'a Graph,
@@ -182,33 +182,39 @@
 }
 
 #[test]
-fn the_library_imports_in_the_order_of_the_architecture_page() {
+fn the_library_imports_follow_the_layers_of_the_architecture_page() {
     let graph = library();
     assert!(graph.len() > LIBRARY_ORDER.len(), "{graph:?}");
-    let mut across = 0;
+    let mut across_layers = 0;
     for (module, used) in &graph {
         for other in used {
-            assert!(place(other) <= place(module), "{module} uses {other}");
-            across += usize::from(place(other) != place(module));
+            assert!(
+                layer(other) <= layer(module),
+                "{module} uses {other}, which is in a higher layer"
+            );
+            across_layers += usize::from(layer(other) != layer(module));
         }
     }
-    assert!(across > 10, "only {across} imports between folders found");
+    assert!(
+        across_layers > 10,
+        "only {across_layers} imports between layers found"
+    );
 }
 
 #[test]
-fn no_modules_of_the_library_import_each_other_in_a_circle() {
-    assert_eq!(circle(&library()), None);
+fn no_modules_of_the_library_import_each_other_in_a_cycle() {
+    assert_eq!(cycle(&library()), None);
 }
 
 #[test]
-fn no_modules_of_the_daemon_import_each_other_in_a_circle() {
+fn no_modules_of_the_daemon_import_each_other_in_a_cycle() {
     let graph = daemon();
     assert!(graph.len() > 20, "{graph:?}");
-    assert_eq!(circle(&graph), None);
+    assert_eq!(cycle(&graph), None);
 }
 
 #[test]
-fn a_circle_is_found_where_there_is_one() {
+fn a_cycle_is_found() {
     let edge = |from: &str, to: &str| (from.to_string(), BTreeSet::from([to.to_string()]));
     let graph = Graph::from([
         edge("a", "b"),
@@ -216,18 +222,18 @@
         edge("c", "b"),
         edge("d", "a"),
     ]);
-    assert_eq!(circle(&graph), Some(vec!["b".to_string(), "c".to_string()]));
+    assert_eq!(cycle(&graph), Some(vec!["b".to_string(), "c".to_string()]));
 }
 
 #[test]
-fn deploy_file_names_every_file_of_the_decisions() {
+fn deploy_file_lists_every_file_of_the_decision_policy() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let deploy = fs::read_to_string(root.join("deploy/balancer.toml")).expect("the deploy file");
     let policy = deploy
         .lines()
         .find_map(|line| line.strip_prefix("policy = "))
-        .expect("the key policy");
-    let named: BTreeSet<PathBuf> = policy
+        .expect("a key `policy`");
+    let listed: BTreeSet<PathBuf> = policy
         .trim_matches(['[', ']'])
         .split(", ")
         .map(|name| PathBuf::from(name.trim_matches('"')))
@@ -237,5 +243,5 @@
         .filter(|file| file.file_name().is_some_and(|name| name != "tests.rs"))
         .map(|file| file.strip_prefix(root).expect("below the root").into())
         .collect();
-    assert_eq!(named, present);
+    assert_eq!(listed, present);
 }
--- a/tests/on_call_page.rs
+++ b/tests/on_call_page.rs
@@ -1,4 +1,4 @@
-//! The table of events in docs/on-call.md has every event that the program logs, with its level, and no other.
+//! The tables of events in docs/on-call.md have every event that the program logs, with its level, and no other.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -6,15 +6,15 @@
 use std::path::{Path, PathBuf};
 
 const PAGE: &str = include_str!("../docs/on-call.md");
-/// Heading of the page's tables of events.
+/// Heading of the page's section of events.
 const EVENTS_HEADING: &str = "## All events";
-/// Heading of the page's table of events whose message has variable text, since others read the line as it is.
+/// Heading of the page's table of events whose message has variable text, since other programs read these lines.
 const FIXED_FORM_HEADING: &str = "### Lines whose form others read";
 const LEVELS: [&str; 4] = ["error", "warn", "info", "debug"];
-/// Crates that are no part of the daemon.
+/// Crates that are not part of the daemon.
 const TOOLS: [&str; 3] = ["fakes", "fault-testbed", "fault-shim"];
 
-/// An event as code or page has it. Variable text in a message is `…`.
+/// An event in the code or on the page. Variable text in a message is `…`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LoggedEvent {
     level: String,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The arguments of a macro call whose text begins after its opening parenthesis, split at top-level commas.
+/// Splits the arguments of a macro call at top-level commas; `text` begins after the opening parenthesis.
 fn macro_arguments(text: &str) -> Vec<String> {
     let (mut arguments, mut argument) = (Vec::new(), String::new());
     let (mut depth, mut in_string, mut is_escaped) = (0, false, false);
@@ -65,7 +65,7 @@
         .collect()
 }
 
-/// A message with `…` in place of each `{placeholder}`.
+/// Replaces each `{placeholder}` of a message by `…`.
 fn without_placeholders(message: &str) -> String {
     let mut parts = message.split('{');
     let first = parts.next().unwrap_or_default().to_string();
@@ -83,7 +83,7 @@
     Some(without_placeholders(literal))
 }
 
-/// The text without lines that are comments.
+/// Removes lines that are comments.
 fn without_comments(source: &str) -> String {
     let is_code = |line: &&str| !line.trim_start().starts_with("//");
     source
@@ -136,7 +136,7 @@
     files
 }
 
-/// The events of the daemon and of the crates that it is made of.
+/// The events of the daemon and of its crates.
 fn events_in_code() -> BTreeSet<LoggedEvent> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let crates = fs::read_dir(root.join("crates")).expect("a folder");
@@ -154,7 +154,7 @@
         .collect()
 }
 
-/// The rows of events in a page's text, in their order: `| level | `message` | ...`.
+/// The rows of events in a page's text, `| level | `message` | ...`, in order.
 fn rows(text: &str) -> Vec<LoggedEvent> {
     let row = |line: &str| {
         let mut cells = line.strip_prefix("| ")?.split(" | ");
@@ -165,7 +165,7 @@
     text.lines().filter_map(row).collect()
 }
 
-/// The page from a heading to the next one of the same level or above.
+/// The page's text from a heading to the next one of the same or a higher level.
 fn section<'a>(page: &'a str, heading: &str) -> &'a str {
     let (_, section) = page
         .split_once(&format!("\n{heading}\n"))
@@ -195,11 +195,11 @@
     let mut seen = BTreeSet::new();
     let rows = rows(section(PAGE, EVENTS_HEADING));
     let repeated = rows.iter().filter(|row| !seen.insert(row.message.clone()));
-    assert_eq!(list(repeated), "", "rows that stand twice");
+    assert_eq!(list(repeated), "", "events with more than one row");
 }
 
 #[test]
-fn messages_with_variable_text_are_those_that_others_read() {
+fn messages_with_variable_text_are_those_listed_as_read_by_other_programs() {
     let listed = rows(section(PAGE, FIXED_FORM_HEADING));
     let listed: BTreeSet<LoggedEvent> = listed.into_iter().collect();
     let has_variable_text = |event: &LoggedEvent| event.message.contains('…');
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn events_are_found_in_source_in_each_form_of_the_macros() {
+fn events_are_found_in_each_form_of_the_macros() {
     let source = r#"
         // tracing::warn!("in a comment");
         tracing::warn!(%error, path = %path.display(), "with, fields (and) \"quotes\"");
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn rows_are_read_from_their_own_section_alone() {
+fn rows_are_read_from_their_section_only() {
     let page = "\n## A\n| warn | `a` | x |\n### B\n| info | `b` | x |\n## C\n| info | `c` | x |\n";
     assert_eq!(
         rows(section(page, "## A")),
