--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn each_node_uses_a_subset_and_each_endpoint_is_used_by_as_many_nodes() {
+fn each_node_uses_a_subset_and_all_endpoints_are_used_evenly() {
     let (mut nodes, mut endpoints) = nodes_with_endpoints(ENDPOINTS);
     let before = used_endpoints(&mut nodes, 150);
     // Each node has a subset of 12 of the 60 endpoints, and hardly uses any other.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -166,8 +166,8 @@
         }
         driver.advance(10 * MILLISECOND);
     }
-    // Each of the five warm endpoints gets up to a fifth of the requests. The bound is three times the slow-start fraction of that; 0.27 is the
-    // fraction of 0.2 with its rise in the first second.
+    // Each of the five warm endpoints gets up to a fifth of the requests. The bound is three times the slow-start fraction of
+    // that; 0.27 is the fraction of 0.2 with its rise in the first second.
     let bound = 3.0 * 0.27 * f64::from(total) / 5.0;
     assert!(
         total > 80 && to_warming > 0 && f64::from(to_warming) <= bound,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn one_slow_response_in_five_is_no_overload_and_slow_responses_alone_are() {
+fn overload_is_detected_when_all_responses_are_slow_and_not_when_one_in_five_is() {
     let rejected_fraction = |all_slow: bool| {
         let mut fleet = PolicyFleet::new(13, settings(), 30);
         let end = move |_: &EndpointId, id: RequestId| {
