--- a/src/bin/applewall-simulator-host.rs
+++ b/src/bin/applewall-simulator-host.rs
@@ -27,7 +27,7 @@
         #[source]
         source: LineError,
     },
-    #[error("standard output: {0}")]
+    #[error("cannot write to standard output: {0}")]
     Output(#[source] io::Error),
 }
 
@@ -36,18 +36,19 @@
 enum LineError {
     #[error(transparent)]
     Read(#[from] io::Error),
-    #[error("not UTF-8")]
+    #[error("the line is not UTF-8")]
     NotUtf8(#[from] std::str::Utf8Error),
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    #[error("outside a batch")]
+    #[error("the line is outside a batch")]
     OutsideBatch,
-    #[error("nested batch")]
+    #[error("a batch begins inside another batch")]
     NestedBatch,
     #[error("unknown node {0}")]
     UnknownNode(u64),
 }
 
+/// A simulated node.
 struct Node {
     policy: DecisionPolicy,
     settings: Box<PlatformSettings>,
@@ -60,12 +61,18 @@
     Complete,
 }
 
+/// All simulated nodes, and the state of the exchange with the simulator.
 #[derive(Default)]
 struct Host {
+    /// The running nodes, by the simulator's node number.
     nodes: HashMap<u64, Node>,
+    /// Endpoint lists by number; events refer to them.
     endpoint_lists: HashMap<u64, Arc<[Value]>>,
+    /// Simulated time of the current batch.
     now_ns: u64,
+    /// Number of the current batch; `None` between batches.
     batch: Option<u64>,
+    /// Output of the current batch, which is written when the batch ends.
     reply: String,
 }
 
--- a/src/daemon/admin/handle.rs
+++ b/src/daemon/admin/handle.rs
@@ -47,7 +47,7 @@
 
 /// Request to put an endpoint into maintenance or to return it to service.
 pub(crate) struct MaintenanceRequest {
-    /// Id of the endpoint.
+    /// The endpoint's id, as the operator gave it; it may be unknown.
     pub id: String,
     /// Whether the endpoint enters or leaves maintenance.
     pub change: MaintenanceChange,
@@ -57,12 +57,12 @@
     pub reply: oneshot::Sender<(AdminResponse, MaintenanceSet)>,
 }
 
-/// A change of the drain.
+/// The change that `DRAIN` or `UNDRAIN` requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DrainChange {
-    /// Drain this process.
+    /// Report failure at the health check, and after a notice period close connections.
     Begin,
-    /// Return this process to service.
+    /// Return this process to service; rejected once it is stopping.
     End,
 }
 
@@ -104,7 +104,7 @@
     pub control: mpsc::Sender<ControlMessage>,
     /// The queue to the lifecycle driver.
     pub drain_requests: mpsc::Sender<DrainRequest>,
-    /// The lifecycle phase.
+    /// The phase that the lifecycle driver has published; part of the answer to `READY`.
     pub phase: watch::Receiver<LifecyclePhase>,
     /// True once this process can serve.
     pub ready: watch::Receiver<bool>,
--- a/src/daemon/admin/listener.rs
+++ b/src/daemon/admin/listener.rs
@@ -42,7 +42,7 @@
     /// The address is in use, or not an address of this machine.
     #[error("cannot listen on the admin address {address}: {source}")]
     Listen {
-        /// The address.
+        /// The admin address in the configuration.
         address: SocketAddr,
         /// The operating system's error.
         source: io::Error,
--- a/src/daemon/admin/maintenance.rs
+++ b/src/daemon/admin/maintenance.rs
@@ -24,7 +24,7 @@
 pub(crate) enum MaintenanceChange {
     /// The endpoint gets no attempts until it leaves maintenance.
     Enter,
-    /// The endpoint returns to service.
+    /// The endpoint gets attempts again, as far as its state in the endpoint list allows.
     Leave,
 }
 
@@ -40,7 +40,7 @@
 
 /// The result of a maintenance request.
 pub(crate) struct MaintenanceOutcome {
-    /// The answer to the caller.
+    /// The confirmation, or the reason why the request was rejected.
     pub answer: AdminResponse,
     /// The endpoint's new entry for the decision policy and the pools, if the request changes it.
     pub changed: Option<EndpointEntry>,
--- a/src/daemon/admin/state_writer.rs
+++ b/src/daemon/admin/state_writer.rs
@@ -23,13 +23,13 @@
 
 /// A maintenance set to be written.
 pub(crate) struct WriteRequest {
-    /// The newest set.
+    /// The complete set, which replaces the one in the file.
     pub maintenance: MaintenanceSet,
     /// Completed with the result of the first attempt; retries are not reported.
     pub reply: oneshot::Sender<Result<(), StateFileError>>,
 }
 
-/// The queue to a [`StateWriter`].
+/// The queue to the [`StateWriter`]; [`write`] sends a set and waits for the result.
 pub(crate) type StateQueue = mpsc::Sender<WriteRequest>;
 
 /// Creates the queue to a writer, and its receiver.
--- a/src/daemon/cli.rs
+++ b/src/daemon/cli.rs
@@ -39,7 +39,7 @@
     /// `check` found the configuration invalid.
     #[error(transparent)]
     Check(#[from] ConfigError),
-    /// The node could not start, or ended before it was told to stop.
+    /// The node could not start, or ended without a stop signal.
     #[error(transparent)]
     Serve(#[from] ServeError),
 }
@@ -59,7 +59,6 @@
     Help,
 }
 
-/// The parsed command line.
 struct Arguments {
     command: Command,
     /// The path of the operator's file, if given.
--- a/src/daemon/config/operator.rs
+++ b/src/daemon/config/operator.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Validate, JsonSchema)]
 #[serde(default, deny_unknown_fields, rename = "Operator")]
 pub(crate) struct OperatorConfig {
-    /// The log.
+    /// The log on standard error.
     #[garde(skip)]
     pub log: LogConfig,
     /// Slow-peer protection: minimum data rates, and limits on unsent data.
--- a/src/daemon/config/reload.rs
+++ b/src/daemon/config/reload.rs
@@ -26,9 +26,9 @@
 
 /// Receivers of the values that a reload can change.
 pub(crate) struct ReloadedConfig {
-    /// The address of discovery.
+    /// The address of discovery: first the one that the process started with, then each changed one in the file.
     pub discovery: watch::Receiver<SocketAddr>,
-    /// The operator's configuration.
+    /// The operator's configuration when it was last read without an error.
     pub operator_config: watch::Receiver<Arc<OperatorConfig>>,
 }
 
--- a/src/daemon/discovery/registry/merged_list.rs
+++ b/src/daemon/discovery/registry/merged_list.rs
@@ -22,11 +22,11 @@
 
 use conversion::{endpoint_entry, member_update, removal};
 
-/// The registry, which takes precedence over the other sources.
+/// The etcd registry, the source with the highest precedence.
 pub(super) const REGISTRY: SourceId = SourceId(0);
 /// The Consul-style store.
 pub(super) const CONSUL: SourceId = SourceId(1);
-/// The discovery service, whose list is used where no other source has one.
+/// The discovery service, the source with the lowest precedence.
 const DISCOVERY: SourceId = SourceId(2);
 const SOURCE_COUNT: usize = 3;
 /// Cluster id of discovery's positions; discovery has no cluster id of its own.
@@ -41,9 +41,9 @@
 /// incarnation is in both lists.
 #[derive(Default)]
 pub(super) struct EndpointChanges {
-    /// Removed endpoints.
+    /// Endpoints that are no longer listed, and former incarnations of listed ones; all in the state `Removed`.
     pub removed: Vec<EndpointEntry>,
-    /// Added and changed endpoints.
+    /// Added and changed endpoints, and new incarnations.
     pub updated: Vec<EndpointEntry>,
 }
 
@@ -109,7 +109,7 @@
         self.source(source).handle(Instant::now(), report)
     }
 
-    /// Applies an update of discovery.
+    /// Applies an update of discovery as the report of a source.
     pub(super) fn apply_discovery(
         &mut self,
         kind: EndpointUpdateKind,
--- a/src/daemon/discovery/registry/snapshot_file.rs
+++ b/src/daemon/discovery/registry/snapshot_file.rs
@@ -79,7 +79,7 @@
 }
 
 impl SnapshotFile {
-    /// The snapshot file in `directory`.
+    /// Determines the paths in `directory`, the operator's `registry.snapshot`. Neither reads nor creates a file.
     pub(super) fn new(directory: &str) -> Self {
         SnapshotFile {
             path: path(directory),
--- a/src/daemon/discovery/watch/connection.rs
+++ b/src/daemon/discovery/watch/connection.rs
@@ -23,10 +23,10 @@
 /// Path at which discovery serves the endpoint list.
 const LIST_PATH: &str = "/v1/servers";
 
-/// An answer of discovery.
+/// A valid answer of discovery, by its effect on the list that this node has.
 #[derive(Debug)]
 pub(super) enum WatchEvent {
-    /// The full list.
+    /// The full list, which may also answer a call for changes.
     Snapshot(EndpointList),
     /// The changes since the known revision; possibly none.
     Delta(EndpointList),
--- a/src/daemon/discovery/watch/machine.rs
+++ b/src/daemon/discovery/watch/machine.rs
@@ -37,7 +37,7 @@
 /// State of the watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum WatchState {
-    /// A connection is being established.
+    /// A connection is being established: at the start, and after each delay.
     Connecting {
         /// Timeout of the connection attempt.
         timeout: Duration,
@@ -65,9 +65,9 @@
 /// Input of the state machine.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum WatchInput<'event> {
-    /// The connection is established.
+    /// The connection attempt succeeded.
     Connected,
-    /// A call was answered.
+    /// A call was answered with a valid list or delta, or by a discovery that restarted its revisions.
     EventReceived(&'event WatchEvent),
     /// The connection attempt or a call failed, and the connection is dropped.
     Failed(CallFailure),
@@ -85,7 +85,7 @@
     },
     /// Request an immediate answer: the changes since the known revision, or the full list if no revision is known.
     FirstCall {
-        /// The known revision.
+        /// Revision of the list in use; `None` requests the full list.
         revision: Option<u64>,
         /// Deadline of the answer.
         deadline: Instant,
@@ -94,7 +94,7 @@
     ReadList,
     /// Request the changes since a revision; discovery holds the call until there are some.
     AwaitChanges {
-        /// The known revision.
+        /// Revision of the list in use.
         since: u64,
     },
     /// Wait before the next connection attempt.
--- a/src/daemon/discovery/zone_failover.rs
+++ b/src/daemon/discovery/zone_failover.rs
@@ -29,7 +29,6 @@
 /// Minimum number of zones; with fewer there is no zone to move traffic to.
 const MIN_ZONES: usize = 2;
 
-/// An attempt in flight.
 struct InFlightAttempt {
     zone: ZoneId,
     endpoint: EndpointNumber,
--- a/src/daemon/engine/effects.rs
+++ b/src/daemon/engine/effects.rs
@@ -39,7 +39,7 @@
                 .schedule(self.now + after_ns, Timer::Policy(token)),
             Action::SendGossip { peer, text } => self.send_gossip(peer, &text),
             Action::Log(event) => log(&event),
-            // Discovery has been watching the endpoint list since the process started.
+            // The endpoint list has been watched since the process started.
             Action::WatchEndpoints => {}
         }
     }
--- a/src/daemon/engine/message.rs
+++ b/src/daemon/engine/message.rs
@@ -15,15 +15,16 @@
 use crate::server::client_socket::ClientSocket;
 use crate::server::response::{ClientResponse, ServedResponse};
 
-/// A message to the engine.
+/// A message to the engine. If the queue is full, requests are rejected, disconnects and datagrams are dropped, and the
+/// senders of the other messages wait.
 pub(crate) enum Message {
     /// A client's request has been received completely.
     Request(ClientRequest),
     /// A client has disconnected before its response.
     ClientDisconnected(ClientDisconnected),
-    /// An attempt has ended.
+    /// An attempt has ended, or its response has begun to stream.
     AttemptEnded(AttemptEnded),
-    /// The endpoint list has changed.
+    /// Discovery or a registry has reported a list or changes.
     EndpointUpdate(EndpointUpdate),
     /// A datagram from a peer has arrived.
     PeerDatagram(PeerDatagram),
@@ -37,7 +38,7 @@
     pub serial: u64,
     /// The client's deadline.
     pub deadline: Instant,
-    /// The part forwarded to endpoints.
+    /// The part forwarded to endpoints, shared by all attempts of the request.
     pub forwarded: Arc<ForwardedRequest>,
     /// Receives the final response.
     pub responder: oneshot::Sender<ClientResponse>,
@@ -56,7 +57,7 @@
     pub content_type: Option<HeaderValue>,
     /// The Idempotency-Key header, if any.
     pub idempotency_key: Option<HeaderValue>,
-    /// The complete body.
+    /// The complete body; empty if the request has none.
     pub body: Bytes,
     /// Semaphore permits for the body's memory, released when the request is dropped; `None` for an empty body.
     pub _body_permit: Option<OwnedSemaphorePermit>,
@@ -128,11 +129,11 @@
 pub(crate) struct EndpointUpdate {
     /// Whether the entries are a complete list or a delta.
     pub kind: EndpointUpdateKind,
-    /// The listed or changed endpoints.
+    /// All endpoints of a complete list; for a delta, the added, changed and removed ones.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// An endpoint as listed by discovery.
+/// An entry of the endpoint list, from discovery, a registry or the configuration.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointEntry {
     /// The endpoint as passed to the decision policy.
@@ -143,7 +144,7 @@
 
 /// A datagram from a configured peer.
 pub(crate) struct PeerDatagram {
-    /// The sender.
+    /// The peer whose configured address the datagram came from.
     pub from: NodeId,
     pub text: String,
 }
--- a/src/daemon/engine/mod.rs
+++ b/src/daemon/engine/mod.rs
@@ -51,7 +51,7 @@
 pub(crate) enum InitialState {
     /// No admin address is configured, so there is no maintenance set.
     WithoutAdmin,
-    /// The last known maintenance set.
+    /// The maintenance set of the state file; empty if there is no file, or if it could not be read.
     Maintenance(MaintenanceSet),
     /// The state transferred by the predecessor process.
     HotRestart(TransferredState),
@@ -67,7 +67,7 @@
     pub monitors: TransferMonitors,
     /// The engine's own queue, to which attempts report.
     pub queue: mpsc::Sender<Message>,
-    /// The state to start with.
+    /// Determines the maintenance set and, in a hot restart, also the endpoint list and the state of the policy.
     pub initial_state: InitialState,
     /// Zone failover, if the operator enabled it.
     pub zones: Option<ZoneFailover>,
--- a/src/daemon/engine/pending_request.rs
+++ b/src/daemon/engine/pending_request.rs
@@ -38,7 +38,7 @@
     /// Number of attempts that the policy has decided on, including those that were not started; also the number of the
     /// next attempt.
     pub attempts: u32,
-    /// The attempt in flight.
+    /// `None` before the first attempt, between attempts, and after the last one.
     pub in_flight: Option<InFlightAttempt>,
     /// Start time of the first attempt that may have been executed.
     pub first_possibly_executed_at_ns: Option<u64>,
--- a/src/daemon/engine/statistics.rs
+++ b/src/daemon/engine/statistics.rs
@@ -9,19 +9,19 @@
 /// Counters since the statistics were last logged.
 #[derive(Default)]
 pub(super) struct Statistics {
-    /// Requests received.
+    /// Requests that reached the engine.
     pub requests: u64,
     /// Requests served by an endpoint.
     pub served: u64,
-    /// Requests rejected.
+    /// Requests that the policy rejected.
     pub rejected: u64,
-    /// Requests that failed.
+    /// Requests that failed: without a usable response, without a decision in time, or with the id of a pending one.
     pub failed: u64,
     /// Requests whose client disconnected before the response.
     pub disconnected: u64,
-    /// Attempts started.
+    /// Attempts that the connection pool started, including those that the send rule refused before the first byte.
     pub attempts: u64,
-    /// Last-resort responses sent.
+    /// Last-resort responses sent; each also counts as failed.
     pub last_resort: u64,
 }
 
--- a/src/daemon/lifecycle/hot_restart.rs
+++ b/src/daemon/lifecycle/hot_restart.rs
@@ -58,7 +58,7 @@
     /// The header has an unknown format mark, or a length above the limit.
     #[error("the old process speaks another protocol version")]
     Version,
-    /// The state cannot be decoded.
+    /// The bytes of the state are not a [`TransferredState`] encoded with postcard.
     #[error("the state of the old process cannot be decoded: {0}")]
     Undecodable(#[source] postcard::Error),
 }
@@ -81,7 +81,7 @@
     /// The engine could not export the state.
     #[error("the engine of this process could not export its state: {0}")]
     Export(#[source] ExportError),
-    /// The state cannot be encoded.
+    /// postcard reported an error for the exported [`TransferredState`].
     #[error("the state of this process cannot be encoded: {0}")]
     Unencodable(#[source] postcard::Error),
     /// The new process did not read the state within [`EXCHANGE_TIMEOUT`].
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Tells the old process that this one has taken over; returns the connection once the old process has confirmed.
+    /// Reports to the old process that this one has taken over; returns the connection once the old process has confirmed.
     async fn report_taken_over(&self, mut stream: UnixStream) -> Option<UnixStream> {
         let exchange = async {
             stream
--- a/src/daemon/lifecycle/process_role.rs
+++ b/src/daemon/lifecycle/process_role.rs
@@ -65,7 +65,6 @@
         self.role.closed().await;
     }
 
-    /// The current role.
     #[cfg(test)]
     pub(super) fn current(&self) -> ProcessRole {
         *self.role.borrow()
@@ -87,7 +86,7 @@
 /// The lifecycle state that request and connection handling read.
 #[derive(Clone)]
 pub(crate) struct ProcessStatus {
-    /// The role of this process.
+    /// The role of this process; always [`ProcessRole::Active`] if it does not take part in hot restarts.
     pub role: watch::Receiver<ProcessRole>,
     /// Set once, when the shutdown begins.
     pub shutdown_times: Arc<OnceLock<ShutdownTimes>>,
--- a/src/daemon/lifecycle/shutdown.rs
+++ b/src/daemon/lifecycle/shutdown.rs
@@ -33,7 +33,6 @@
     hangup: Signal,
 }
 
-/// Action requested by a signal.
 enum SignalAction {
     /// SIGTERM or SIGINT.
     Stop,
--- a/src/daemon/observability/condition_log.rs
+++ b/src/daemon/observability/condition_log.rs
@@ -1,6 +1,6 @@
 //! Conditions that are logged once when they begin and once when they end, no matter how often they are observed in between.
 //!
-//! This module only tells the observer whether to log. The observer logs the event itself, since each event has its own
+//! This module only decides whether an observation is logged. The observer logs the event itself, since each event has its own
 //! message and fields.
 
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/src/daemon/observability/event_counts.rs
+++ b/src/daemon/observability/event_counts.rs
@@ -5,7 +5,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// An event that is counted.
+/// An event whose count is a field of the log event `counts by reason`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CountedEvent {
     /// A client connection ended normally: the client closed it, or a response had `Connection: close`.
@@ -76,7 +76,7 @@
     COUNTS[event as usize].fetch_add(1, Ordering::Relaxed);
 }
 
-/// The counts of one interval.
+/// The counts between two calls of [`EventCounts::take`], in the order of [`EVENTS`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct EventCounts([u64; EVENTS.len()]);
 
--- a/src/daemon/send_rule.rs
+++ b/src/daemon/send_rule.rs
@@ -24,9 +24,9 @@
     MayHaveExecuted,
     /// The attempt's deadline has passed.
     Expired,
-    /// The endpoint is draining.
+    /// The endpoint began to drain, or was removed from the list, after the attempt had started.
     Draining,
-    /// The client has disconnected.
+    /// The client has disconnected, so the response would be discarded.
     ClientDisconnected,
     /// The endpoints' deduplication window has passed, so they may not recognize the attempt as a retry.
     DeduplicationWindowOver,
@@ -105,15 +105,15 @@
 /// Input of the check right before the first byte of an attempt is written.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WriteFacts {
-    /// The current time.
+    /// Time of the check, compared with both deadlines.
     pub now: Instant,
     /// Deadline for the attempt's response.
     pub response_by: Instant,
     /// Deadline for the first byte, if an earlier attempt may have been executed.
     pub first_byte_by: Option<Instant>,
-    /// The endpoint is draining.
+    /// See [`SendRefusal::Draining`].
     pub is_draining: bool,
-    /// The client has disconnected.
+    /// See [`SendRefusal::ClientDisconnected`].
     pub client_disconnected: bool,
 }
 
--- a/src/daemon/serve.rs
+++ b/src/daemon/serve.rs
@@ -1,4 +1,4 @@
-//! Starts the node and runs it until it is told to stop and every accepted request has been answered.
+//! Starts the node and runs it until it has received a stop signal and answered every accepted request.
 //!
 //! Startup order: signal handlers, admin listener, state of the old process, sockets, startup schedule, discovery,
 //! engine, lifecycle, hot restart, acceptor. Signal handlers come first, since an early signal must not kill the
@@ -26,13 +26,13 @@
 use bootstrap::BootstrapResult;
 use node::Node;
 
-/// The reason for which the node could not start, or ended before it was told to stop.
+/// Why the node could not start, or ended without a stop signal.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ServeError {
     /// The async runtime could not be started.
     #[error("cannot start the runtime: {0}")]
     Runtime(#[source] std::io::Error),
-    /// The configuration is invalid.
+    /// `GW_CONFIG` is not set, or a configuration file or variable cannot be read or is not valid.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// A signal handler cannot be installed.
@@ -55,7 +55,8 @@
     EngineStopped(Result<(), JoinError>),
 }
 
-/// Runs the node until it is told to stop and every accepted request has been answered.
+/// Runs the node until it has received a stop signal and answered every accepted request, or until the shutdown
+/// deadline.
 ///
 /// # Errors
 ///
--- a/src/daemon/serve/bootstrap.rs
+++ b/src/daemon/serve/bootstrap.rs
@@ -29,9 +29,9 @@
 pub(super) struct BootstrapResult {
     /// The part that does not depend on an old process.
     pub bootstrap: Bootstrap,
-    /// The state that the node starts with.
+    /// From the old process, if there is one.
     pub start: StartState,
-    /// The open sockets.
+    /// Bound or inherited; this process does not read them yet.
     pub sockets: Sockets,
 }
 
--- a/src/daemon/serve/node.rs
+++ b/src/daemon/serve/node.rs
@@ -41,7 +41,6 @@
     pub config: PlatformConfig,
     /// The engine's clock.
     clock: Clock,
-    /// The queue to the engine.
     queue: mpsc::Sender<Message>,
     /// The UDP socket, if there are peers.
     peers: Option<Arc<PeerSocket>>,
--- a/src/daemon/server/acceptor.rs
+++ b/src/daemon/server/acceptor.rs
@@ -43,7 +43,7 @@
     pub monitors: TransferMonitors,
     /// The engine's queue.
     pub queue: mpsc::Sender<Message>,
-    /// The lifecycle phase.
+    /// The lifecycle phase; from [`LifecyclePhase::Closing`] on, only the kernel's accept queue is served.
     pub phases: watch::Receiver<LifecyclePhase>,
     /// True once there is an endpoint list.
     pub has_endpoint_list: watch::Receiver<bool>,
--- a/src/daemon/server/admission.rs
+++ b/src/daemon/server/admission.rs
@@ -39,9 +39,9 @@
     shedding: ConditionLog,
 }
 
-/// A newly admitted connection.
+/// A new connection, which is in the table and holds its permit.
 pub(super) struct AdmittedConnection {
-    /// The connection's state, which holds its permit.
+    /// The connection's state, shared with its task and its stream.
     pub connection: Arc<ClientConnection>,
     /// Its registration with slow-peer protection, if that is enabled. It refers to the stream's descriptor, so it has
     /// to be dropped before the stream.
--- a/src/daemon/server/context.rs
+++ b/src/daemon/server/context.rs
@@ -31,7 +31,7 @@
 }
 
 impl ServerContext {
-    /// True if the node can serve requests: the listener is open and there is an endpoint list.
+    /// True if the health check succeeds: the process is neither draining nor drained, and there is an endpoint list.
     pub(super) fn is_healthy(&self) -> bool {
         self.phases.borrow().reports_healthy() && *self.has_endpoint_list.borrow()
     }
--- a/src/daemon/server/request.rs
+++ b/src/daemon/server/request.rs
@@ -15,11 +15,11 @@
 const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// A parsed request head.
+/// The contents of a valid request head.
 pub(super) struct ParsedRequest {
-    /// The request for the decision policy.
+    /// The request for the decision policy; its time left counts from the arrival of the head.
     pub request: api::Request,
-    /// The customer's id.
+    /// The customer's id as a number, by which slow-peer protection identifies the customer.
     pub customer: u64,
 }
 
--- a/src/daemon/server/request_body.rs
+++ b/src/daemon/server/request_body.rs
@@ -81,9 +81,9 @@
     }
 }
 
-/// A complete body.
+/// A body that was read completely, and the memory reserved for it.
 pub(super) struct ReceivedBody {
-    /// The contents.
+    /// The contents without transfer coding; empty if the request has no body.
     pub bytes: Bytes,
     /// Memory permits, released when the body is dropped; `None` for an empty body.
     pub permit: Option<OwnedSemaphorePermit>,
@@ -99,7 +99,7 @@
     pub permits: &'a Arc<Semaphore>,
     /// The connection's registration with slow-peer protection.
     pub monitored: Option<&'a MonitoredTransfer>,
-    /// The customer's id.
+    /// The customer to whom a slow-peer event is attributed.
     pub customer: u64,
     /// When the head was read.
     pub arrived: Instant,
--- a/src/daemon/server/response.rs
+++ b/src/daemon/server/response.rs
@@ -28,7 +28,7 @@
 /// An endpoint's response with status 200.
 #[derive(Debug)]
 pub(crate) struct ServedResponse {
-    /// The unchanged body.
+    /// The endpoint's body, forwarded unchanged.
     pub body: ResponseBody,
     /// Its Content-Type header, if any.
     pub content_type: Option<HeaderValue>,
@@ -37,13 +37,13 @@
 /// The final response to a request.
 #[derive(Debug)]
 pub(crate) enum ClientResponse {
-    /// An endpoint served the request.
+    /// The response of an endpoint, which has status 200.
     Served(ServedResponse),
     /// The request was never executed, or may be executed again: a retry is safe.
     Rejected {
         /// 429 if the policy has not decided on any attempt, otherwise 503.
         status: StatusCode,
-        /// The value of the Retry-After header.
+        /// The value of the Retry-After header; without it or with 0, the header is omitted.
         retry_after_ns: Option<u64>,
     },
     /// The request failed; it may or may not have been executed.
--- a/src/daemon/server/service.rs
+++ b/src/daemon/server/service.rs
@@ -24,7 +24,7 @@
 use crate::server::response::{ClientResponse, HttpResponse, ResponseBody, ServedResponse};
 use crate::server::response_accounting::account_for;
 
-/// The path for health checks.
+/// The path for health checks, which are answered without the engine and on every connection.
 const HEALTH_PATH: &str = "/healthz";
 
 /// The service of one client connection.
--- a/src/daemon/server/slow_peers.rs
+++ b/src/daemon/server/slow_peers.rs
@@ -20,7 +20,7 @@
 /// The current monitor; `None` if slow-peer protection is disabled.
 pub(crate) type TransferMonitors = watch::Receiver<Option<Arc<TransferMonitor>>>;
 
-/// Creates monitors.
+/// What each monitor needs besides the operator's settings.
 struct MonitorFactory {
     clock: Clock,
     permits: Arc<Semaphore>,
--- a/src/daemon/server/submission.rs
+++ b/src/daemon/server/submission.rs
@@ -31,7 +31,7 @@
 pub(super) struct Submission {
     /// The request as passed to the decision policy.
     pub request: api::Request,
-    /// The head as received.
+    /// The head as received, of which only the parts in [`ForwardedRequest`] are forwarded.
     pub head: Parts,
     pub body: ReceivedBody,
     /// Deadline for the response.
--- a/src/daemon/server/unanswered_input.rs
+++ b/src/daemon/server/unanswered_input.rs
@@ -15,8 +15,8 @@
 const REJECTION: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 0.200\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
-/// True if bytes of an unanswered request have arrived. `is_buffered` tells whether some have already been read; others
-/// may be in the kernel's buffer.
+/// True if bytes of an unanswered request have arrived. `is_buffered` is true if some have already been read;
+/// others may be in the kernel's buffer.
 pub(super) fn has_arrived(stream: &TcpStream, is_buffered: bool) -> bool {
     is_buffered || kernel_has_input(stream)
 }
--- a/src/daemon/upstream/attempt.rs
+++ b/src/daemon/upstream/attempt.rs
@@ -20,7 +20,7 @@
 use crate::engine::message::{AttemptEnded, ForwardedRequest, Message};
 use crate::server::response::ServedResponse;
 
-/// The parameters of an attempt.
+/// An attempt that the send rule has allowed to start.
 pub(crate) struct Attempt {
     /// The request that it belongs to.
     pub request: RequestId,
@@ -28,9 +28,9 @@
     pub number: u32,
     /// The endpoint that it is sent to.
     pub endpoint: EndpointId,
-    /// The request to send.
+    /// The part of the client's request that is sent, shared by all its attempts.
     pub forwarded: Arc<ForwardedRequest>,
-    /// Its deadlines.
+    /// Derived from the client's deadline and the policy's timeout.
     pub deadlines: AttemptDeadlines,
 }
 
@@ -90,7 +90,7 @@
 enum DecidingEvent {
     /// The exchange has ended or is abandoned.
     Ended(Result<UpstreamResponse, Outcome>),
-    /// The response has stream_started; the exchange continues and forwards the rest of the body.
+    /// The response has begun to stream; the exchange continues and forwards the rest of the body.
     Streaming(UpstreamResponse),
 }
 
--- a/src/daemon/upstream/body.rs
+++ b/src/daemon/upstream/body.rs
@@ -22,14 +22,14 @@
 
 /// The prefetched part of a body.
 pub(super) struct Prefetched {
-    /// The bytes read.
+    /// The contents of the frames received so far.
     pub bytes: Bytes,
     /// Whether they are the complete body.
     pub is_complete: bool,
 }
 
 impl Prefetched {
-    /// A complete body.
+    /// A body that has ended, so that nothing is left to stream.
     pub(super) fn complete(bytes: Bytes) -> Self {
         Prefetched {
             bytes,
--- a/src/daemon/upstream/connection.rs
+++ b/src/daemon/upstream/connection.rs
@@ -124,7 +124,7 @@
     pub driver: Box<Driver>,
     /// State shared with the stream.
     pub watch: Arc<ConnectionWatch>,
-    /// The remote address.
+    /// The endpoint's address at the time of the dial. The connection is not reused after the address has changed.
     pub address: SocketAddr,
     /// Start of the current idle period.
     pub idle_since: Instant,
--- a/src/daemon/upstream/context.rs
+++ b/src/daemon/upstream/context.rs
@@ -11,7 +11,7 @@
 
 /// The context that the pool provides to an attempt, besides its connection.
 pub(super) struct AttemptContext {
-    /// The endpoint with its connections.
+    /// The endpoint, to which a reusable connection is returned after the exchange.
     pub endpoint: Arc<UpstreamEndpoint>,
     /// Connection timeouts.
     pub timeouts: Arc<Timeouts>,
--- a/src/daemon/upstream/deadlines.rs
+++ b/src/daemon/upstream/deadlines.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-/// The deadlines of an attempt.
+/// Set by the engine when the attempt starts, and never extended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptDeadlines {
     /// The attempt times out unless its response is complete, or has begun to stream, by this time.
--- a/src/daemon/upstream/endpoint.rs
+++ b/src/daemon/upstream/endpoint.rs
@@ -12,7 +12,7 @@
 
 /// What an attempt gets from the pool: an idle connection, or the right to open one.
 pub(super) enum ConnectionLease {
-    /// An idle connection.
+    /// A connection that was idle within the limit; its endpoint may have closed it since.
     Idle(UpstreamConnection),
     /// A permit to open a new one.
     Permit(OwnedSemaphorePermit),
--- a/src/daemon/upstream/exchange.rs
+++ b/src/daemon/upstream/exchange.rs
@@ -38,13 +38,13 @@
     pub body: ResponseBody,
 }
 
-/// The exchange of one attempt.
+/// Everything that the exchange of one attempt needs besides its connection.
 pub(super) struct Exchange<'a> {
     /// The context provided by the pool.
     pub context: &'a AttemptContext,
-    /// The request to send.
+    /// The part of the client's request that is sent.
     pub forwarded: &'a ForwardedRequest,
-    /// The deadlines of the attempt.
+    /// Checked before the first byte; the time left is sent to the endpoint.
     pub deadlines: AttemptDeadlines,
 }
 
--- a/src/daemon/upstream/pacing.rs
+++ b/src/daemon/upstream/pacing.rs
@@ -21,7 +21,7 @@
 pub(super) struct ResponsePacing {
     /// Provides the current settings and counts events.
     pub monitor: Arc<TransferMonitor>,
-    /// The clock for transfer times.
+    /// The clock on which [`IncomingTransfer`] measures data rates and pauses.
     pub clock: Clock,
 }
 
