--- a/src/daemon/server/admission.rs
+++ b/src/daemon/server/admission.rs
@@ -153,8 +153,8 @@
     ) -> Option<MonitorRegistration> {
         let monitor = self.monitors.borrow().as_ref()?.clone();
         let aborted = aborted.clone();
-        // SAFETY: the registration is moved into `RequestGuard`, which `CountingIo` drops before it drops or returns
-        // the stream.
+        // SAFETY: the registration is moved into `RequestGuard`, which `ObservedStream` drops before it drops or
+        // returns the stream.
         let socket = unsafe { borrow_descriptor(stream) };
         let now = self.clock.now();
         let registration =
--- a/src/daemon/server/framing.rs
+++ b/src/daemon/server/framing.rs
@@ -16,7 +16,7 @@
 
 use crate::server::connection_table::ClientConnection;
 use crate::server::head_scanner::HeadScanner;
-use crate::system::counting_io::{CountingIo, IoObserver};
+use crate::system::observed_stream::{IoObserver, ObservedStream};
 
 /// Maximum number of bytes received while a response is pending that are stored and later read as the next request.
 const MAX_PIPELINED_BYTES: usize = 16 * 1024;
@@ -27,7 +27,7 @@
 const READ_AHEAD_BYTES: usize = 2048;
 
 /// A client's stream whose input is checked by a [`RequestGuard`].
-pub(crate) type GuardedStream = CountingIo<RequestGuard>;
+pub(crate) type GuardedStream = ObservedStream<RequestGuard>;
 
 /// Observes the input and output of one client connection.
 pub(crate) struct RequestGuard {
--- a/src/daemon/system/counting_io.rs
+++ b/src/daemon/system/observed_stream.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Observes each read and write of a [`CountingIo`].
+/// Observes each read and write of an [`ObservedStream`].
 pub(crate) trait IoObserver: Unpin {
     /// Reads from the stream into `buffer`.
     fn poll_read(
@@ -25,16 +25,16 @@
 }
 
 /// A TCP stream with an observer.
-pub(crate) struct CountingIo<O> {
+pub(crate) struct ObservedStream<O> {
     // Declared before the stream, so that it is dropped first.
     observer: O,
     stream: TcpStream,
 }
 
-impl<O: IoObserver> CountingIo<O> {
+impl<O: IoObserver> ObservedStream<O> {
     /// Combines a stream, from which nothing has been read yet, with its observer.
     pub(crate) fn new(stream: TcpStream, observer: O) -> Self {
-        CountingIo { observer, stream }
+        ObservedStream { observer, stream }
     }
 
     /// Drops the observer, then returns the stream.
@@ -47,7 +47,7 @@
     }
 }
 
-impl<O: IoObserver> AsyncRead for CountingIo<O> {
+impl<O: IoObserver> AsyncRead for ObservedStream<O> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -58,7 +58,7 @@
     }
 }
 
-impl<O: IoObserver> AsyncWrite for CountingIo<O> {
+impl<O: IoObserver> AsyncWrite for ObservedStream<O> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/src/daemon/upstream/connection.rs
+++ b/src/daemon/upstream/connection.rs
@@ -27,7 +27,7 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit};
 
 use crate::observability::event_counts::{self, CountedEvent};
-use crate::system::counting_io::{CountingIo, IoObserver};
+use crate::system::observed_stream::{IoObserver, ObservedStream};
 use crate::system::socket_retry::is_transient;
 
 /// Size limit of a connection's read buffer, which bounds a response head and the part of a body that hyper buffers.
@@ -79,9 +79,9 @@
 }
 
 /// Updates the [`ConnectionWatch`] on reads and writes of a connection's stream.
-pub(crate) struct WatchedStream(Arc<ConnectionWatch>);
+pub(crate) struct ConnectionObserver(Arc<ConnectionWatch>);
 
-impl IoObserver for WatchedStream {
+impl IoObserver for ConnectionObserver {
     fn poll_read(
         &mut self,
         stream: &mut TcpStream,
@@ -114,7 +114,7 @@
     }
 }
 
-type Driver = http1::Connection<TokioIo<CountingIo<WatchedStream>>, Full<Bytes>>;
+type Driver = http1::Connection<TokioIo<ObservedStream<ConnectionObserver>>, Full<Bytes>>;
 
 /// A connection to an endpoint. Dropping it releases its permit.
 pub(crate) struct UpstreamConnection {
@@ -159,7 +159,7 @@
         // Ignored: without TCP_NODELAY requests are slower, but not wrong.
         let _ = stream.set_nodelay(true);
         let watch = Arc::new(ConnectionWatch::default());
-        let stream = CountingIo::new(stream, WatchedStream(watch.clone()));
+        let stream = ObservedStream::new(stream, ConnectionObserver(watch.clone()));
         let handshake = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .handshake(TokioIo::new(stream))
--- a/src/daemon/upstream/context.rs
+++ b/src/daemon/upstream/context.rs
@@ -6,7 +6,7 @@
 use tokio::sync::{mpsc, Semaphore};
 
 use super::endpoint::{Timeouts, UpstreamEndpoint};
-use super::pacing::ResponsePacing;
+use super::response_monitor::ResponseMonitor;
 use crate::engine::message::Message;
 
 /// The context that the pool provides to an attempt, besides its connection.
@@ -18,7 +18,7 @@
     /// The fields of a load report, in the order of the settings.
     pub load_report_fields: Arc<[LoadField]>,
     /// Slow-peer protection, if the operator enabled it.
-    pub pacing: Option<ResponsePacing>,
+    pub response_monitor: Option<ResponseMonitor>,
     /// Bounds the memory of prefetched bodies: one permit per byte, released when the body is dropped.
     pub prefetch: Arc<Semaphore>,
     /// The engine's queue, which receives the attempt's report.
--- a/src/daemon/upstream/exchange.rs
+++ b/src/daemon/upstream/exchange.rs
@@ -150,12 +150,12 @@
         stream_start: oneshot::Sender<UpstreamResponse>,
     ) -> Option<UpstreamResponse> {
         let response = sender.send_request(request);
-        let response = match &self.context.pacing {
+        let response = match &self.context.response_monitor {
             None => response.await.ok()?,
-            Some(pacing) => tokio::select! {
+            Some(monitor) => tokio::select! {
                 biased;
                 response = response => response.ok()?,
-                () = pacing.wait_for_stalled_head(watch, self.deadlines) => return None,
+                () = monitor.wait_for_stalled_head(watch, self.deadlines) => return None,
             },
         };
         if !is_delimited(response.version(), response.status(), response.headers()) {
@@ -175,10 +175,10 @@
         let length = body.size_hint().exact();
         let success = classify(parts.status, &parts.headers) == Outcome::Success;
         let permit = self.acquire_prefetch(length);
-        let prefetched = match (&self.context.pacing, &permit) {
+        let prefetched = match (&self.context.response_monitor, &permit) {
             (_, None) if success => body::first_chunk(&mut body).await?,
             (None, _) => body::prefetch(&mut body).await?,
-            (Some(pacing), _) => pacing.prefetch(&mut body, self.deadlines).await?,
+            (Some(monitor), _) => monitor.prefetch(&mut body, self.deadlines).await?,
         };
         let response = |headers, body| UpstreamResponse {
             status: parts.status,
--- a/src/daemon/upstream/exchange/tests.rs
+++ b/src/daemon/upstream/exchange/tests.rs
@@ -46,7 +46,7 @@
             idle: second,
         }),
         load_report_fields: Arc::default(),
-        pacing: None,
+        response_monitor: None,
         prefetch: Arc::new(Semaphore::new(1 << 20)),
         queue: mpsc::channel(1).0,
     }
--- a/src/daemon/upstream/mod.rs
+++ b/src/daemon/upstream/mod.rs
@@ -7,6 +7,6 @@
 pub(crate) mod deadlines;
 mod endpoint;
 mod exchange;
-mod pacing;
 pub(crate) mod pool;
 mod response;
+mod response_monitor;
--- a/src/daemon/upstream/pool.rs
+++ b/src/daemon/upstream/pool.rs
@@ -18,7 +18,7 @@
 use crate::upstream::connection::UpstreamConnection;
 use crate::upstream::context::AttemptContext;
 use crate::upstream::endpoint::{ConnectionLease, Timeouts, UpstreamEndpoint};
-use crate::upstream::pacing::ResponsePacing;
+use crate::upstream::response_monitor::ResponseMonitor;
 
 /// Fraction of the endpoint's idle timeout after which the pool closes an idle connection. A request sent while the
 /// endpoint closes the connection would be reset.
@@ -150,12 +150,12 @@
     }
 
     /// Slow-peer protection for responses, if the operator enabled it.
-    fn response_pacing(&self) -> Option<ResponsePacing> {
+    fn response_monitor(&self) -> Option<ResponseMonitor> {
         let monitor = self.monitors.borrow();
         let monitor = monitor
             .as_ref()
             .filter(|monitor| monitor.settings().enabled.0);
-        monitor.cloned().map(|monitor| ResponsePacing {
+        monitor.cloned().map(|monitor| ResponseMonitor {
             monitor,
             clock: self.clock,
         })
@@ -179,7 +179,7 @@
             endpoint: endpoint.clone(),
             timeouts: self.timeouts.clone(),
             load_report_fields: self.load_report_fields.clone(),
-            pacing: self.response_pacing(),
+            response_monitor: self.response_monitor(),
             prefetch: self.prefetch.clone(),
             queue: self.queue.clone(),
         };
--- a/src/daemon/upstream/pacing.rs
+++ b/src/daemon/upstream/response_monitor.rs
@@ -18,14 +18,14 @@
 use crate::resources::limits::MAX_BODY_BYTES;
 
 /// Enforces a minimum data rate and a maximum pause for the responses of endpoints.
-pub(super) struct ResponsePacing {
+pub(super) struct ResponseMonitor {
     /// Provides the current settings and counts events.
     pub monitor: Arc<TransferMonitor>,
     /// The clock on which [`IncomingTransfer`] measures data rates and pauses.
     pub clock: Clock,
 }
 
-impl ResponsePacing {
+impl ResponseMonitor {
     /// True while there is time for a retry, should the policy decide on one. Otherwise nothing is gained by abandoning
     /// the response.
     fn leaves_time_to_retry(&self, deadlines: AttemptDeadlines) -> bool {
