--- a/src/daemon/config/platform.rs
+++ b/src/daemon/config/platform.rs
@@ -110,7 +110,7 @@
     pub(super) path: String,
     /// The address of discovery in the file, which `GW_DISCOVERY` may override.
     pub(super) discovery_in_file: SocketAddr,
-    /// The node's name.
+    /// The node's name, which is part of the names of the files that its processes share.
     pub name: String,
     /// The address of the clients' listening socket.
     pub listen: SocketAddr,
@@ -120,9 +120,9 @@
     pub discovery: SocketAddr,
     /// The seed of all random generators.
     pub seed: u64,
-    /// Maximum number of open file descriptors.
+    /// Maximum number of open file descriptors; halved at startup if a hot restart may run two processes.
     pub max_descriptors: usize,
-    /// Maximum memory, in bytes.
+    /// Maximum memory, in bytes; halved like [`Self::max_descriptors`].
     pub max_memory_bytes: usize,
     /// The address of the UDP socket, if there is one.
     pub peer_listen: Option<SocketAddr>,
--- a/src/daemon/discovery/endpoint_list.rs
+++ b/src/daemon/discovery/endpoint_list.rs
@@ -108,7 +108,7 @@
 
 /// A malformed entry of a list.
 struct RejectedEntry {
-    /// Position in the list.
+    /// Position in the list, from 0.
     index: usize,
     /// The id, escaped and truncated for the log.
     id: String,
--- a/src/daemon/discovery/startup.rs
+++ b/src/daemon/discovery/startup.rs
@@ -21,7 +21,6 @@
 use crate::config::platform::PlatformConfig;
 use crate::system::peer_socket::{DatagramHandler, PeerSocket};
 
-/// Nanoseconds in a second.
 const NANOS_PER_SECOND: f64 = 1e9;
 /// Interval between checks of whether the first call is due while peers reply. Short, because each reply may change the
 /// scheduled time.
--- a/src/daemon/discovery/watch/tests.rs
+++ b/src/daemon/discovery/watch/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 
 /// The platform counts a change as reported this long after the agent stopped answering.
-const REPORTED_AFTER_SILENCE: Duration = Duration::from_secs(6);
+const REPORTED_AFTER_LAST_ANSWER: Duration = Duration::from_secs(6);
 /// The same, counted from the end of the wait that the call requested.
 const REPORTED_AFTER_WAIT: Duration = Duration::from_secs(2);
 /// Time after the report within which a node has to stop sending to a draining endpoint. Attempts that are being written
@@ -41,20 +41,20 @@
 }
 
 #[test]
-fn silent_agent_is_retried_before_a_missed_drain_counts_as_reported() {
+fn unresponsive_agent_is_retried_before_a_missed_drain_counts_as_reported() {
     let WatchTiming {
         watch_wait,
         answer_margin,
         ..
     } = AGENT_TIMING;
     let call = AGENT_TIMING.first_call_timeout(Duration::ZERO).unwrap();
-    // The agent falls silent at the time of the call or just before its answer; both are detected by this time.
+    // The agent stops answering at the time of the call or just before its answer; both are detected by this time.
     let detected = watch_wait + answer_margin;
-    let reported = REPORTED_AFTER_SILENCE.max(watch_wait + REPORTED_AFTER_WAIT);
+    let reported = REPORTED_AFTER_LAST_ANSWER.max(watch_wait + REPORTED_AFTER_WAIT);
     // The retry delay, two further calls without an answer, and one that is answered at its deadline.
     let answered = detected + longest_delay(AGENT_TIMING, 300, TIMED_OUT, 0) + 3 * call;
     assert!(answered < reported, "{answered:?} of {reported:?}");
-    // The agent falls silent just before the end of the wait, so the limit counts from the end of the wait.
+    // The agent stops answering just before the end of the wait, so the limit counts from the end of the wait.
     let answered = answer_margin + 3 * call;
     assert!(
         answered < REPORTED_AFTER_WAIT,
@@ -66,7 +66,7 @@
 fn agent_that_answers_again_is_called_while_a_drain_can_be_respected() {
     for fleet in [3, 300, 10_000] {
         for retries in 0..20 {
-            // The agent was silent for 8 s and answers again just after a call began.
+            // The agent did not answer for 8 s and answers again just after a call began.
             let call = AGENT_TIMING
                 .first_call_timeout(Duration::from_secs(8))
                 .unwrap();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn silent_service_is_called_again_within_two_seconds_for_any_fleet_size() {
+fn unresponsive_service_is_called_again_within_two_seconds_for_any_fleet_size() {
     for fleet in [3, 30, 300, 10_000] {
         for retries in 0..20 {
             let after_timeout = SERVICE_TIMING.retry_delay(fleet, TIMED_OUT, retries);
--- a/src/daemon/discovery/watch/timing.rs
+++ b/src/daemon/discovery/watch/timing.rs
@@ -1,7 +1,7 @@
 //! Timeouts and retry delays of the endpoint list watch, without I/O and without a clock.
 //!
-//! They are chosen so that the node learns of a drain in time to respect it, even if discovery was silent when the drain
-//! began (see [`AGENT_TIMING`]).
+//! They are chosen so that the node learns of a drain in time to respect it, even if discovery did not answer when the
+//! drain began (see [`AGENT_TIMING`]).
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 /// Timing for lists that are pushed to an agent on this machine.
 ///
 /// Calls to a local agent cause no load for the fleet, so retries can be fast. They also have to be: the platform counts a
-/// drain as reported once the agent has it, and at the latest 6 s after the agent fell silent; from then on a node has 0.5 s
-/// to stop sending to the endpoint. A silent agent is detected after `watch_wait + answer_margin` = 3.5 s. Each retry then
+/// drain as reported once the agent has it, and at the latest 6 s after the agent stopped answering; from then on a node has 0.5 s
+/// to stop sending to the endpoint. An unresponsive agent is detected after `watch_wait + answer_margin` = 3.5 s. Each retry then
 /// takes `first_call_timeout` = 0.3 s and follows the previous one without delay, which allows eight retries before 6.5 s.
 /// An agent that answers again is called within 0.3 s.
 pub(super) const AGENT_TIMING: WatchTiming = WatchTiming {
--- a/src/daemon/discovery/zone_failover.rs
+++ b/src/daemon/discovery/zone_failover.rs
@@ -21,10 +21,9 @@
 
 /// Interval between evaluations of the zones, which is the time resolution of the core's decisions.
 pub(crate) const EVALUATION_INTERVAL_NS: u64 = 100_000_000;
-/// Nanoseconds in a second.
 const NANOS_PER_SECOND: f64 = 1e9;
-/// Fraction of the latency objective after which an attempt without a response counts as failing. Below 1, so that a silent
-/// zone is detected before its requests miss the objective.
+/// Fraction of the latency objective after which an attempt without a response counts as failing. Below 1, so that an
+/// unresponsive zone is detected before its requests miss the objective.
 const OVERDUE_FRACTION: f64 = 0.75;
 /// Minimum number of zones; with fewer there is no zone to move traffic to.
 const MIN_ZONES: usize = 2;
--- a/src/daemon/lifecycle/shutdown.rs
+++ b/src/daemon/lifecycle/shutdown.rs
@@ -66,7 +66,7 @@
 
 /// Drives the phases of drain and shutdown.
 pub(crate) struct LifecycleDriver {
-    /// The process's signals.
+    /// Handlers of SIGTERM, SIGINT and SIGHUP, installed at the start of the process.
     pub signals: Signals,
     /// Publishes the phase.
     pub phase: watch::Sender<LifecyclePhase>,
--- a/src/daemon/serve/bootstrap.rs
+++ b/src/daemon/serve/bootstrap.rs
@@ -94,9 +94,9 @@
 
 /// The state that the node starts with.
 pub(super) struct StartState {
-    /// The engine's clock.
+    /// The engine's clock, which continues that of the old process if there is one.
     pub clock: Clock,
-    /// The engine's initial state.
+    /// The maintenance set and, from an old process, its endpoint list and policy state.
     pub initial_state: InitialState,
     /// Whether the old process was draining or drained.
     pub is_draining: bool,
--- a/src/daemon/server/acceptor.rs
+++ b/src/daemon/server/acceptor.rs
@@ -39,9 +39,9 @@
     pub clock: Clock,
     /// One permit per client connection, including those whose requests are only rejected.
     pub permits: Arc<Semaphore>,
-    /// Slow-peer protection.
+    /// The current transfer monitor, with which new connections are registered.
     pub monitors: TransferMonitors,
-    /// The engine's queue.
+    /// The engine's queue, for requests and disconnects.
     pub queue: mpsc::Sender<Message>,
     /// The lifecycle phase; from [`LifecyclePhase::Closing`] on, only the kernel's accept queue is served.
     pub phases: watch::Receiver<LifecyclePhase>,
--- a/src/daemon/server/admission.rs
+++ b/src/daemon/server/admission.rs
@@ -31,11 +31,11 @@
     pub table: Arc<ConnectionTable>,
     /// Maximum numbers of connections.
     pub budget: ConnectionBudget,
-    /// Slow-peer protection.
+    /// The current transfer monitor, with which new connections are registered.
     pub monitors: TransferMonitors,
     /// The clock of slow-peer protection.
     pub clock: Clock,
-    /// Active while new connections are rejected.
+    /// Whether it was logged that new connections are rejected because the connection limit is exceeded.
     shedding: ConditionLog,
 }
 
@@ -119,9 +119,9 @@
         permit: OwnedSemaphorePermit,
     ) -> AdmittedConnection {
         let aborted = Arc::new(Notify::new());
-        let entry = self.register_with_monitor(stream, address, &aborted);
-        let sheds_load = self.decide_shedding(entry.as_ref());
-        let (monitored, registration) = match entry {
+        let registered = self.register_with_monitor(stream, address, &aborted);
+        let sheds_load = self.decide_shedding(registered.as_ref());
+        let (monitored, registration) = match registered {
             Some(MonitorRegistration {
                 monitor,
                 registration,
@@ -166,7 +166,7 @@
     }
 
     /// Decides whether all requests of a new connection are rejected.
-    fn decide_shedding(&self, entry: Option<&MonitorRegistration>) -> bool {
+    fn decide_shedding(&self, registered: Option<&MonitorRegistration>) -> bool {
         let max = self.budget.clients;
         let open = self.open_connections();
         // Clients whose connection pools are at their limit open no new connections, and would have to reject requests
@@ -175,7 +175,8 @@
         let evicted = open > max * 3 / 4 && self.evict_one(FIRST_REQUEST_GRACE);
         let is_over_limit = open > max;
         // A connection whose network has no slot left takes one of the permits for connections that are only rejected.
-        let has_network_slot = entry.is_none_or(|entry| entry.registration.has_slot());
+        let has_network_slot =
+            registered.is_none_or(|registered| registered.registration.has_slot());
         let sheds_load = is_over_limit && !evicted || !has_network_slot;
         if sheds_load && has_network_slot && self.shedding.begins() {
             tracing::warn!(
--- a/src/daemon/server/client_socket/tests.rs
+++ b/src/daemon/server/client_socket/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[tokio::test]
-async fn end_of_a_client_is_known_before_the_reactor_runs() {
+async fn disconnect_is_detected_before_the_reactor_runs() {
     let (client, stream) = connection().await;
     let socket = ClientSocket::default();
     assert!(!socket.is_closed(), "no stream yet");
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn bytes_of_a_client_are_not_its_end() {
+async fn unread_bytes_do_not_count_as_a_disconnect() {
     let (mut client, stream) = connection().await;
     let socket = ClientSocket::default();
     socket.attach(&stream);
--- a/src/daemon/server/connection_table/tests.rs
+++ b/src/daemon/server/connection_table/tests.rs
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn new_connections_stay_for_their_grace_even_where_no_other_can_be_evicted() {
+async fn new_connection_is_not_evicted_in_its_grace_period_even_if_no_other_can_be() {
     let (table, permits) = (
         Arc::new(ConnectionTable::default()),
         Arc::new(Semaphore::new(1)),
--- a/src/daemon/server/connection_task.rs
+++ b/src/daemon/server/connection_task.rs
@@ -24,7 +24,7 @@
 use crate::server::unanswered_input;
 
 /// A request head has to begin within this time after the connection was established or the last response was sent, and
-/// be complete within this time after its first byte. Bounds how long a silent or slow client can occupy a
+/// be complete within this time after its first byte. Bounds how long an idle or slow client can occupy a
 /// connection.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Size limit of a connection's read buffer, which bounds a request head and the part of a body that hyper buffers.
--- a/src/daemon/server/context.rs
+++ b/src/daemon/server/context.rs
@@ -15,7 +15,7 @@
 /// State shared by all client connections.
 pub(crate) struct ServerContext {
     pub settings: Arc<PlatformSettings>,
-    /// The engine's queue.
+    /// The engine's queue, for requests and disconnects.
     pub queue: mpsc::Sender<Message>,
     pub phases: watch::Receiver<LifecyclePhase>,
     /// True once there is an endpoint list.
@@ -36,7 +36,7 @@
         self.phases.borrow().reports_healthy() && *self.has_endpoint_list.borrow()
     }
 
-    /// True while each connection is closed after its response, as part of a shutdown.
+    /// True while each connection is closed after its response, in the drained phase and during a shutdown.
     pub(super) fn closes_after_response(&self) -> bool {
         self.phases.borrow().closes_after_response()
     }
--- a/src/daemon/server/framing/tests.rs
+++ b/src/daemon/server/framing/tests.rs
@@ -29,7 +29,8 @@
 }
 
 #[tokio::test]
-async fn end_is_found_behind_a_request_without_response_and_pipelined_bytes_are_read_after_it() {
+async fn disconnect_is_detected_while_a_response_is_pending_and_pipelined_bytes_are_read_after_it()
+{
     for pipelined_bytes in [0, 1, MAX_PIPELINED_BYTES] {
         let (mut guarded, connection, mut client) = awaiting_response().await;
         client
--- a/src/daemon/system/peer_socket.rs
+++ b/src/daemon/system/peer_socket.rs
@@ -29,7 +29,7 @@
 
 /// The UDP socket could not be bound.
 #[derive(Debug, thiserror::Error)]
-#[error("peer_listen {address}: {source}")]
+#[error("cannot open the UDP socket of peer_listen {address}: {source}")]
 pub(crate) struct PeerSocketError {
     address: SocketAddr,
     source: std::io::Error,
--- a/src/daemon/upstream/body.rs
+++ b/src/daemon/upstream/body.rs
@@ -13,8 +13,8 @@
 
 /// A response of unknown length is prefetched for this long before it is streamed. Most are complete by then.
 const PREFETCH_TIMEOUT: Duration = Duration::from_millis(100);
-/// A streamed response may make no progress for this long, on either side. Bounds how long a silent endpoint or a
-/// client that has stopped reading can occupy two connections.
+/// A streamed response may make no progress for this long, on either side. Bounds how long an endpoint that stopped
+/// sending or a client that stopped reading can occupy two connections.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The body of an endpoint's response.
