--- a/src/daemon/upstream/body.rs
+++ b/src/daemon/upstream/body.rs
@@ -13,8 +13,8 @@
 
 /// A response of unknown length is prefetched for this long before it is streamed. Most are complete by then.
 const PREFETCH_TIMEOUT: Duration = Duration::from_millis(100);
-/// A streamed response may make no progress for this long, on either side. Bounds how long a silent endpoint or a
-/// client that has stopped reading can occupy two connections.
+/// A streamed response may make no progress for this long, on either side. Bounds how long an endpoint that stopped
+/// sending or a client that stopped reading can occupy two connections.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The body of an endpoint's response.
@@ -22,14 +22,14 @@
 
 /// The prefetched part of a body.
 pub(super) struct Prefetched {
-    /// The bytes read.
+    /// The contents of the frames received so far.
     pub bytes: Bytes,
     /// Whether they are the complete body.
     pub is_complete: bool,
 }
 
 impl Prefetched {
-    /// A complete body.
+    /// A body that has ended, so that nothing is left to stream.
     pub(super) fn complete(bytes: Bytes) -> Self {
         Prefetched {
             bytes,
