--- a/crates/consul/src/blocking_query.rs
+++ b/crates/consul/src/blocking_query.rs
@@ -33,16 +33,16 @@
 pub struct BlockingQuery {
     /// The agent waits for a change after this index; if it is `None`, the agent responds immediately.
     pub index: Option<u64>,
-    /// How long the agent may wait for a change, in milliseconds, with jitter.
+    /// How long the agent may wait for a change, in milliseconds, with jitter. Not sent without an index.
     pub wait_ms: u64,
     /// Whether any server may respond from its own store, or the leader has to confirm the response.
     pub consistency: ReadConsistency,
 }
 
-/// The result of a query.
+/// The part of a query's result that determines how to continue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryInput {
-    /// A list was received.
+    /// The response is a list, which may be empty.
     List {
         /// The index of the list; 0 if the response had none.
         index: u64,
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 pub struct BlockingQueryMachine {
     timing: QueryTiming,
-    /// Number of failures since the last list that was received.
+    /// Number of consecutive failures; a stale list from an agent without a known leader counts as one.
     failures: u32,
     /// Index of the last list that was used; 0 if there is none.
     index: u64,
@@ -144,7 +144,8 @@
         QueryOutput::apply(consistency)
     }
 
-    /// Delays the next query. The index is kept, so that the next response includes the changes in the meantime.
+    /// Delays the next query. The index is kept, so that the agent responds immediately if the list changes in the
+    /// meantime.
     fn back_off(&mut self) -> QueryOutput {
         let bound = self.timing.backoff.delay(self.failures);
         self.failures = self.failures.saturating_add(1);
--- a/crates/consul/src/client.rs
+++ b/crates/consul/src/client.rs
@@ -62,13 +62,13 @@
     pub(crate) modify_index: u64,
 }
 
-/// The response to a query.
+/// A response with a list of keys.
 pub(crate) struct ListResponse {
     /// The index of the list; 0 if the response had none.
     pub(crate) index: u64,
-    /// Whether there is a known leader.
+    /// Whether there is a known leader; true if the response does not say.
     pub(crate) leader_known: bool,
-    /// All keys with the prefix.
+    /// All keys with the prefix; empty if the store has none.
     pub(crate) entries: Vec<KeyValue>,
 }
 
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -1,7 +1,7 @@
 //! Membership from a Consul-style key-value store.
 //!
-//! A blocking query has the index of the last response, and the agent responds when the index has changed or the wait
-//! time of the query has passed. Each response is the full list of the keys with the prefix. [`BlockingQueryMachine`]
+//! A blocking query contains the index of the last response; the agent responds when the list has changed since that
+//! index or the wait time of the query has passed. Each response is the full list of the keys with the prefix. [`BlockingQueryMachine`]
 //! decides on the next query, without I/O; [`watch`] sends the queries.
 
 mod blocking_query;
--- a/crates/consul/tests/watch.rs
+++ b/crates/consul/tests/watch.rs
@@ -117,7 +117,7 @@
     fixture.proxy.disconnect();
     fixture.agent.put("m/b", Some(&value("in_service")));
     fixture
-        .wait_until("b after a break", |list| list.len() == 2)
+        .wait_until("b after a lost connection", |list| list.len() == 2)
         .await;
     fixture.proxy.set_silent(true);
     let accepted = fixture.proxy.connections.accepted();
@@ -128,7 +128,7 @@
         .await;
     fixture.proxy.set_silent(false);
     fixture
-        .wait_until("c after silence", |list| list.len() == 3)
+        .wait_until("c after the agent responds again", |list| list.len() == 3)
         .await;
     // A consistent query resolves the response of a lagging agent.
     fixture.agent.set_lagging(true);
@@ -146,7 +146,7 @@
     fixture.agent.reset();
     fixture.agent.put("m/z", Some(&value("in_service")));
     fixture
-        .wait_until("only what there is now", |list| {
+        .wait_until("only the member that was written after the reset", |list| {
             list.len() == 1 && list.contains_key("z")
         })
         .await;
--- a/crates/etcd-proto/src/lib.rs
+++ b/crates/etcd-proto/src/lib.rs
@@ -37,7 +37,7 @@
 /// A key with its value and its revisions.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct KeyValue {
-    /// The key.
+    /// The key, which may be any bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
     /// Revision at which the key was created; 0 in a delete event.
@@ -49,7 +49,7 @@
     /// Version of the key: 1 when it is created, increased by each change, and reset to 0 by a deletion.
     #[prost(int64, tag = "4")]
     pub version: i64,
-    /// The value.
+    /// The value, which may be any bytes; empty in a delete event.
     #[prost(bytes = "vec", tag = "5")]
     pub value: Vec<u8>,
     /// Id of the lease that the key is attached to; 0 if there is none.
@@ -57,13 +57,13 @@
     pub lease: i64,
 }
 
-/// The kind of an event.
+/// Whether an event set or deleted its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum EventType {
     /// The key was created or its value was replaced.
     Put = 0,
-    /// The key was deleted.
+    /// The key was deleted, by a request or because its lease expired.
     Delete = 1,
 }
 
@@ -73,7 +73,7 @@
     /// The kind of change, as the number of an [`EventType`].
     #[prost(enumeration = "EventType", tag = "1")]
     pub r#type: i32,
-    /// The key after the change.
+    /// The key after the change; if it was deleted, only its `key` and `mod_revision` are set.
     #[prost(message, optional, tag = "2")]
     pub kv: Option<KeyValue>,
     /// The key before the change, if the watch requested it.
@@ -84,10 +84,10 @@
 /// Reads the keys from `key` to `range_end` (exclusive).
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RangeRequest {
-    /// The first key.
+    /// The first key of the range, which need not exist.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The end of the range, exclusive; empty for the first key alone.
+    /// The end of the range, exclusive; empty to read `key` alone. [`prefix_end`] returns the end for a prefix.
     #[prost(bytes = "vec", tag = "2")]
     pub range_end: Vec<u8>,
     /// Maximum number of keys to return; 0 returns all.
@@ -104,7 +104,7 @@
 /// Response to a [`RangeRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RangeResponse {
-    /// The header of the response.
+    /// The header. Its revision is the current one of the store, even if the keys were read at an older revision.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
     /// The keys, in byte order.
@@ -121,10 +121,10 @@
 /// Writes a key.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PutRequest {
-    /// The key.
+    /// The key, which is created if it does not exist.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The new value.
+    /// The new value, which replaces that of an existing key.
     #[prost(bytes = "vec", tag = "2")]
     pub value: Vec<u8>,
 }
@@ -140,10 +140,10 @@
 /// Deletes the keys from `key` to `range_end` (exclusive).
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DeleteRangeRequest {
-    /// The first key.
+    /// The first key of the range, which need not exist.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The end of the range, exclusive; empty for the first key alone.
+    /// The end of the range, exclusive; empty to delete `key` alone.
     #[prost(bytes = "vec", tag = "2")]
     pub range_end: Vec<u8>,
 }
@@ -173,7 +173,7 @@
 /// Response to a [`CompactionRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CompactionResponse {
-    /// The header of the response.
+    /// The header. A compaction does not increase the revision of the store.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
 }
@@ -181,14 +181,14 @@
 /// A message to the server on a watch stream.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WatchRequest {
-    /// The request.
+    /// The request; `None` if it is of a kind that is not in [`watch_request::Union`].
     #[prost(oneof = "watch_request::Union", tags = "1, 2, 3")]
     pub request_union: Option<watch_request::Union>,
 }
 
 /// Types of the fields of [`WatchRequest`].
 pub mod watch_request {
-    /// The kinds of requests.
+    /// The requests on a watch stream, which may carry several watches.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub enum Union {
         /// Create a watch.
@@ -206,13 +206,13 @@
 /// Creates a watch.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WatchCreateRequest {
-    /// The first key.
+    /// The first key of the range, which need not exist.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The end of the range, exclusive; empty for the first key alone.
+    /// The end of the range, exclusive; empty to watch `key` alone.
     #[prost(bytes = "vec", tag = "2")]
     pub range_end: Vec<u8>,
-    /// Revision of the first event to send; 0 for the current one.
+    /// Revision of the first event to send; 0 for events after the creation of the watch.
     #[prost(int64, tag = "3")]
     pub start_revision: i64,
     /// True if the server sends progress notifications at intervals while there are no events.
@@ -232,7 +232,7 @@
 /// Cancels a watch.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WatchCancelRequest {
-    /// Id of the watch.
+    /// Id of the watch to cancel, from the response to its creation.
     #[prost(int64, tag = "1")]
     pub watch_id: i64,
 }
@@ -247,7 +247,7 @@
     /// The header. In a response without events, its revision is the one up to which all events were sent.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
-    /// Id of the watch.
+    /// Id of the watch that the message concerns.
     #[prost(int64, tag = "2")]
     pub watch_id: i64,
     /// True if the watch was created; the response then has no events.
@@ -259,7 +259,7 @@
     /// The oldest revision that is kept, if the watch requested a compacted one; otherwise 0.
     #[prost(int64, tag = "5")]
     pub compact_revision: i64,
-    /// Why the watch was cancelled.
+    /// Why the server cancelled the watch; otherwise empty.
     #[prost(string, tag = "6")]
     pub cancel_reason: String,
     /// True if more events of the same response follow in the next message.
--- a/crates/etcd/tests/watch.rs
+++ b/crates/etcd/tests/watch.rs
@@ -182,7 +182,9 @@
             .registry
             .put(&format!("/m/n{round}"), &value(100 + round, "in_service"));
         fixture
-            .wait_until("the next", |list| list.len() == 2 + usize::from(round))
+            .wait_until("the new member of this round", |list| {
+                list.len() == 2 + usize::from(round)
+            })
             .await;
     }
     // 20 new members, the first incarnation of a, and 20 further ones.
@@ -266,16 +268,20 @@
         registry.put(&format!("/m/s-{index}"), &value(1 + index, "in_service"));
     }
     let fixture = start(registry, 1, |_| ()).await;
-    fixture.wait_until("40", |list| list.len() == 40).await;
+    fixture
+        .wait_until("40 members", |list| list.len() == 40)
+        .await;
     fixture.proxies[0].set_refusing(true);
     fixture.proxies[0].disconnect();
     fixture.registry.reset(8);
     fixture.registry.put("/m/s-1", &value(2, "in_service"));
     fixture.proxies[0].set_refusing(false);
-    fixture.wait_until("one", |list| list.len() == 1).await;
+    fixture.wait_until("only s-1", |list| list.len() == 1).await;
     assert_eq!(fixture.new_incarnations(), 40);
     fixture.registry.put("/m/s-2", &value(3, "in_service"));
-    fixture.wait_until("two", |list| list.len() == 2).await;
+    fixture
+        .wait_until("s-1 and s-2", |list| list.len() == 2)
+        .await;
     assert_eq!(
         fixture
             .membership
@@ -296,7 +302,7 @@
     }
     let fixture = start(registry, 1, |_| ()).await;
     fixture
-        .wait_until("5,000", |list| list.len() == 5_000)
+        .wait_until("5,000 members", |list| list.len() == 5_000)
         .await;
     assert_eq!(fixture.registry.calls.ranges.load(Ordering::Relaxed), 3);
     fixture.proxies[0].set_silent(true);
@@ -305,7 +311,7 @@
     }
     fixture.proxies[0].set_silent(false);
     fixture
-        .wait_until("4,000", |list| list.len() == 4_000)
+        .wait_until("4,000 members", |list| list.len() == 4_000)
         .await;
     assert_eq!(fixture.registry.calls.ranges.load(Ordering::Relaxed), 3);
 }
@@ -320,7 +326,7 @@
     let fixture = start(registry, 1, |_| ()).await;
     // After the first page is read, a member on it is deleted, one on the last page is drained, and one is added.
     fixture
-        .wait_until("reading", |_| {
+        .wait_until("the first page to be read", |_| {
             writer.calls.ranges.load(Ordering::Relaxed) >= 1
         })
         .await;
@@ -328,7 +334,7 @@
     writer.put("/m/s-4999", &value(5_000, "terminating"));
     writer.put("/m/t", &value(6_000, "in_service"));
     fixture
-        .wait_until("all three", |list| {
+        .wait_until("all three changes", |list| {
             list.len() == 5_000
                 && list.contains_key("t")
                 && list.get("s-4999") == Some(&MemberState::Terminating)
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -12,19 +12,19 @@
 use crate::record::{MemberRecord, MemberState};
 use crate::source::Source;
 
-/// A source's place in the order of precedence, from 0 for the first.
+/// A source's rank in the order of precedence. Source 0 takes precedence over all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SourceId(pub usize);
 
-/// A change of one member.
+/// A member that was added, changed or removed since the last [`MergedMembership::take_changes`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberChange {
     /// The member's id.
     pub id: String,
     /// The member's new record; `None` if the member was removed.
     pub record: Option<MemberRecord>,
-    /// Whether the member is a different incarnation from the one reported before. Observations of the old incarnation,
-    /// such as its latency, do not apply to the new one.
+    /// Whether the member is a different incarnation from the one reported before; true for an added member, false for
+    /// a removed one. Observations of the old incarnation, such as its latency, do not apply to the new one.
     pub new_incarnation: bool,
     /// The source of the record; `None` if the member was removed.
     pub source: Option<SourceId>,
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -16,7 +16,7 @@
 #[serde(rename_all = "snake_case")]
 #[schemars(rename = "State")]
 pub enum MemberState {
-    /// Accepts new work.
+    /// Accepts new work; the default for a record without a state.
     #[default]
     InService,
     /// Completes its work in progress and accepts no new work.
@@ -35,7 +35,7 @@
         regex(pattern = r"^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:.]+\]):\d{1,5}$")
     )]
     pub endpoint: SocketAddr,
-    /// The member's zone.
+    /// The member's zone, at most 64 bytes; empty by default.
     #[serde(default)]
     #[garde(length(max = 64))]
     pub az: String,
@@ -74,7 +74,7 @@
     /// A number or a text is out of range.
     #[error("{field}: {reason}")]
     InvalidField {
-        /// The key of the value.
+        /// The key in the record whose value is invalid.
         field: String,
         /// Which requirement the value does not meet.
         reason: String,
--- a/crates/membership/src/snapshot.rs
+++ b/crates/membership/src/snapshot.rs
@@ -61,23 +61,23 @@
     /// The snapshot exceeds the maximum age.
     #[error("snapshot is {} s old, the maximum is {} s", .age_ms / MILLIS_PER_SECOND, .max_age_ms / MILLIS_PER_SECOND)]
     TooOld {
-        /// Age of the snapshot.
+        /// Time since the list was last known to be current, in milliseconds.
         age_ms: u64,
-        /// The maximum age.
+        /// The maximum from [`SnapshotLimits::max_age_ms`].
         max_age_ms: u64,
     },
     /// The snapshot is from the future: the clock of the writer or of the reader is wrong.
     #[error("snapshot is {} s in the future", .ahead_ms / MILLIS_PER_SECOND)]
     FromFuture {
-        /// How far the snapshot is ahead of the current time.
+        /// How far the snapshot is ahead of the current time, in milliseconds.
         ahead_ms: u64,
     },
     /// The snapshot is from another cluster than the expected one.
     #[error("snapshot is from cluster {:x}, expected {:x}", .found, .expected)]
     OtherCluster {
-        /// The snapshot's cluster.
+        /// Id of the cluster in the snapshot.
         found: u64,
-        /// The expected cluster.
+        /// Id of the cluster in [`SnapshotLimits::cluster`].
         expected: u64,
     },
 }
@@ -87,7 +87,8 @@
 pub struct SnapshotLimits {
     /// The current time, as Unix time in milliseconds.
     pub now_ms: u64,
-    /// Maximum age, in milliseconds. A snapshot may be from the future by as much, but by no more than a minute.
+    /// Maximum age, in milliseconds. A snapshot that is ahead of the current time is accepted if it is ahead by no more
+    /// than this and no more than a minute.
     pub max_age_ms: u64,
     /// The cluster whose snapshots are accepted; `None` accepts any cluster.
     pub cluster: Option<u64>,
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -11,7 +11,7 @@
 
 use crate::record::MemberRecord;
 
-/// Id of a registry's cluster.
+/// Id of a registry's cluster. A registry that has no such id is given a constant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct ClusterId(pub u64);
@@ -21,7 +21,7 @@
 pub struct Position {
     /// The registry's cluster. Revisions of different clusters cannot be compared.
     pub cluster: ClusterId,
-    /// The revision of the registry's store.
+    /// The revision of the registry's store; with Consul, the index.
     pub revision: u64,
 }
 
@@ -56,14 +56,14 @@
     pub position: Position,
     /// How the list was read.
     pub consistency: ReadConsistency,
-    /// The members.
+    /// The state of each member's key. A member that is missing here, or has no record, is removed.
     pub updates: Vec<MemberUpdate>,
 }
 
-/// A report of a registry.
+/// What a registry reports about its members.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceInput {
-    /// The full list.
+    /// All members; they replace the known ones.
     FullList(FullList),
     /// All changes since the last report, up to a position; there may be none.
     Changes {
@@ -76,12 +76,12 @@
     Progress(Position),
 }
 
-/// The outcome of a report.
+/// Whether a report was applied, and whether a full list has to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceOutput {
     /// The report was applied; it may have changed nothing.
     Applied,
-    /// The report was dropped: its position is before the known one.
+    /// The report was dropped: its position is before the known one, or it is a stale full list from another cluster.
     Outdated,
     /// The report was dropped: it does not continue from the known position, for example after a reset of the
     /// registry's history. A full list is needed.
--- a/crates/membership/src/test_support.rs
+++ b/crates/membership/src/test_support.rs
@@ -32,7 +32,6 @@
     }
 }
 
-/// A position in the history of a cluster.
 pub(crate) fn position(cluster: u64, revision: u64) -> Position {
     Position {
         cluster: ClusterId(cluster),
@@ -40,7 +39,6 @@
     }
 }
 
-/// A full list from a consistent read.
 pub(crate) fn consistent_list(position: Position, updates: Vec<MemberUpdate>) -> SourceInput {
     SourceInput::FullList(FullList {
         position,
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/watch.rs
@@ -1,7 +1,7 @@
 //! State machine of a registry watch, without I/O and without a clock.
 //!
-//! The machine connects, reads the full list once (or resumes at the position that an earlier watch reached), watches
-//! from the next revision on, and sends a progress request every `progress_interval` to check that the watch is alive.
+//! The machine connects, reads the full list once (or resumes at the position of a restored snapshot), watches from the
+//! next revision on, and sends a progress request every `progress_interval` to check that the watch is alive.
 //! The registry answers a progress request from memory, without reading the list. If the response does not arrive
 //! within `response_timeout`, the watch is considered dead and is resumed at the next endpoint.
 //!
@@ -33,8 +33,8 @@
 /// Timeout of a full read, as a multiple of the timeout of any other response.
 const FULL_LIST_TIMEOUT_FACTOR: u32 = 10;
 
-/// Range of the random number of the first endpoint, which the caller reduces modulo the number of endpoints. Large
-/// enough that the endpoints of any registry are chosen with nearly equal probability.
+/// The number of the first endpoint is drawn from 0 to this, exclusive, and the caller reduces it modulo the number of
+/// endpoints. The range is much larger than any number of endpoints, so that all have nearly the same probability.
 const INITIAL_ENDPOINT_RANGE: usize = 1 << 16;
 
 /// Intervals, timeouts and delays of a watch.
@@ -64,11 +64,11 @@
 /// An event that the machine handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchInput {
-    /// The connection is established.
+    /// The connection that the last [`WatchOutput::Connect`] requested is established.
     Connected,
     /// The full list was read; it is the one at this position.
     ListRead(Position),
-    /// The registry created the watch.
+    /// The registry confirmed that it created the watch. Changes are reported from now on.
     WatchCreated,
     /// All changes up to this position were reported; there may have been none.
     Progress(Position),
@@ -90,11 +90,11 @@
         /// The endpoint's number; the caller reduces it modulo the number of endpoints.
         endpoint: usize,
     },
-    /// Read the full list.
+    /// Read the full list, and return its position as [`WatchInput::ListRead`].
     ReadList,
     /// Create a watch.
     Watch {
-        /// The first revision to report.
+        /// Revision of the first change to report: the one after the known position.
         from: u64,
     },
     /// Request a progress notification to check that the watch is alive.
--- a/crates/membership/tests/source_histories.rs
+++ b/crates/membership/tests/source_histories.rs
@@ -151,7 +151,6 @@
         .collect()
 }
 
-/// A full list at a position.
 fn full_list(
     position: Position,
     consistency: ReadConsistency,
