--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -6,15 +6,15 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Maximum length of a command line in bytes, without its line ending. A command is at most two short words; the
-/// maximum limits the memory that a caller can use that sends something else.
+/// Maximum length of a command line in bytes, without its line ending. A valid command has at most two short words; the
+/// maximum limits the memory that any other input can take.
 pub const MAX_COMMAND_LINE_BYTES: usize = 512;
 
 /// Maximum number of characters of an unexpected word that are quoted in an error: enough to recognize a typing error,
 /// and short enough for one line.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// An admin command.
+/// A command that an operator sends to the admin address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
     /// Report whether this process can serve requests.
@@ -32,7 +32,7 @@
 /// Why a command line is rejected. The text is part of the response, and scripts may parse it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// The line is blank.
+    /// The line is empty or has only white space.
     #[error("no call: the line is empty")]
     Empty,
     /// The first word is not a command.
@@ -44,15 +44,15 @@
     /// There is another word after the complete command.
     #[error("{command}: '{token}' is one word too many")]
     TrailingWord {
-        /// The command.
+        /// The first word of the line, such as `READY`.
         command: &'static str,
-        /// The first extra word, truncated and without control characters.
+        /// The first extra word, truncated and with its control characters replaced.
         token: String,
     },
 }
 
 impl AdminCommand {
-    /// The first word of the command line.
+    /// The word with which the command line begins.
     fn name(&self) -> &'static str {
         match self {
             AdminCommand::Ready => "READY",
@@ -105,7 +105,7 @@
     }
 }
 
-/// A word of a caller, truncated and with its control characters replaced.
+/// Truncates a word of a rejected line and replaces its control characters, so that an error can quote it.
 fn printable(token: &str) -> String {
     token
         .chars()
--- a/crates/admin/src/lifecycle.rs
+++ b/crates/admin/src/lifecycle.rs
@@ -40,7 +40,7 @@
         !matches!(self, LifecyclePhase::Serving | LifecyclePhase::Draining)
     }
 
-    /// True after the process was told to stop.
+    /// True from [`LifecycleInput::Stop`] until the process exits.
     pub fn is_stopping(self) -> bool {
         matches!(
             self,
@@ -72,7 +72,7 @@
 pub enum LifecycleInput {
     /// An operator starts a drain. No effect if the process is draining already.
     Drain,
-    /// An operator ends a drain. Without a drain, `Serving` is entered again.
+    /// An operator ends a drain. A process that is not draining stays in `Serving`, which is still reported as entered.
     Undrain,
     /// The process is told to stop. No effect if the process is stopping already.
     Stop(ShutdownMode),
@@ -94,9 +94,9 @@
 /// The effect of an input on the phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PhaseChange {
-    /// The phase has not changed.
+    /// The input had no effect, such as a `Tick` before the deadline.
     Unchanged,
-    /// A phase was entered; `Serving` may have been entered again.
+    /// The input led to this phase. It is the previous one only after an `Undrain` while serving.
     Entered(LifecyclePhase),
 }
 
@@ -110,7 +110,7 @@
     Closing,
 }
 
-/// The state machine of the lifecycle.
+/// The state machine of the lifecycle; see the module documentation.
 #[derive(Clone, Copy, Debug)]
 pub struct Lifecycle {
     state: State,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The current phase.
+    /// The phase since the last input; a passed deadline has no effect before the next [`LifecycleInput::Tick`].
     pub fn phase(&self) -> LifecyclePhase {
         match self.state {
             State::Serving => LifecyclePhase::Serving,
--- a/crates/admin/src/shutdown_deadlines.rs
+++ b/crates/admin/src/shutdown_deadlines.rs
@@ -30,7 +30,8 @@
 /// connections, so that there is no benefit in using all the time up to the kill.
 const REPLACED_RESPONSE_MARGIN: Duration = Duration::from_millis(400);
 
-/// Time to write the response to a request that was in flight at SIGTERM, after the request's own deadline.
+/// If no process has taken over: time to write the response to a request that was accepted at the end of
+/// [`TERMINATION_ACCEPT_PERIOD`], after the request's own deadline.
 const RESPONSE_WRITE_MARGIN: Duration = Duration::from_millis(300);
 
 /// Whether another process has taken over when the shutdown begins.
@@ -66,12 +67,12 @@
         }
     }
 
-    /// The earliest time at which the platform kills the process.
+    /// The earliest time after SIGTERM at which the platform kills the process.
     fn kill_after(self) -> Duration {
         self.longest_request_deadline.min(PLATFORM_DEADLINE_BOUND) + KILL_MARGIN
     }
 
-    /// How long idle connections are kept open for another request.
+    /// How long after SIGTERM idle connections are kept open for another request.
     pub fn keep_alive_for(self, mode: ShutdownMode) -> Duration {
         match mode {
             ShutdownMode::Standalone => TERMINATION_ACCEPT_PERIOD,
@@ -93,7 +94,8 @@
         }
     }
 
-    /// When the process exits even if connections are still open. Every accepted request has its response by then.
+    /// The time after SIGTERM at which the process exits even if connections are still open. Every accepted request has
+    /// its response by then.
     pub fn exit_after(self, mode: ShutdownMode) -> Duration {
         match mode {
             ShutdownMode::Standalone => {
--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -12,25 +12,25 @@
 /// Size of the control file in bytes: one page.
 const FILE_BYTES: usize = 4096;
 
-/// A fault. Its value is at this index in the control file.
+/// A fault that can be injected. The number of the variant is the index of its value in the control file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Offset of the wall clock, in nanoseconds.
+    /// Nanoseconds that are added to the wall clock; may be negative.
     WallClockOffsetNs,
-    /// `errno` of calls that write, sync or rename state files; 0 for none.
+    /// `errno` of calls that write, sync or rename state files; 0 if they succeed.
     FileError,
-    /// Every `n`th call of `accept4` fails, where `n` is the value; 0 for none.
+    /// Every `n`th call of `accept4` fails, where `n` is the value; 0 if none fails.
     AcceptFailsOneIn,
-    /// The same for `connect`.
+    /// Every `n`th call of `connect` fails, where `n` is the value; 0 if none fails.
     ConnectFailsOneIn,
-    /// The same for `socket`.
+    /// Every `n`th call of `socket` fails, where `n` is the value; 0 if none fails.
     SocketFailsOneIn,
 }
 
 /// The mapped control file: an array of values, indexed by [`Fault`].
 struct Mapping(*const AtomicI64);
 
-// SAFETY: the mapping lives as long as the process and is accessed through atomics only.
+// SAFETY: the mapping remains valid until the process exits and is accessed through atomics only.
 unsafe impl Send for Mapping {}
 // SAFETY: as above.
 unsafe impl Sync for Mapping {}
@@ -60,11 +60,11 @@
     }
 }
 
-/// The control file, as tests use it.
+/// The control file of a test, in which it sets the faults of the daemon.
 pub struct ControlFile(Mapping);
 
 impl ControlFile {
-    /// Creates a control file at `path` without faults.
+    /// Creates a control file at `path`. No fault is set in a new file; an existing file keeps its values.
     ///
     /// # Errors
     ///
--- a/crates/fault-shim/src/interposed.rs
+++ b/crates/fault-shim/src/interposed.rs
@@ -24,7 +24,7 @@
 /// Prefix of the names of state files.
 const STATE_FILE_PREFIX: &[u8] = b"applewall-";
 
-/// The original function of this name, looked up once.
+/// The C library's function of this name, looked up at the first use.
 macro_rules! original {
     ($name:literal, $type:ty) => {{
         static ADDRESS: OnceLock<usize> = OnceLock::new();
@@ -78,7 +78,7 @@
     current_value(Fault::WallClockOffsetNs)
 }
 
-/// On state files, writes only half of the bytes, and fails once no more than one byte is left.
+/// On state files, writes only half of the bytes; fails if there is at most one byte to write.
 ///
 /// # Safety
 ///
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -7,12 +7,12 @@
 
 use serde::de::value::Error as ValueError;
 
-/// Why a file is rejected.
+/// The first error in a rejected file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub struct Error {
-    /// The section, if known.
+    /// The section; `None` if the text is not INI or a key is outside of any section.
     pub section: Option<String>,
-    /// The key, if known.
+    /// The key; `None` if the error concerns the whole section or file.
     pub key: Option<String>,
     /// The reason, as a single line.
     pub reason: String,
--- a/crates/operator-config/src/value.rs
+++ b/crates/operator-config/src/value.rs
@@ -4,7 +4,7 @@
 use serde::de::{Deserializer, IntoDeserializer, Visitor};
 use serde::forward_to_deserialize_any;
 
-/// The text of one key.
+/// The value of one key, as the text in the file.
 pub(crate) struct Value(pub String);
 
 impl<'de> IntoDeserializer<'de, Error> for Value {
