--- a/crates/slow-peer/src/bulkheads.rs
+++ b/crates/slow-peer/src/bulkheads.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// A slot that is withheld from a network until a time.
+/// A reduction of a network's limit by one slot, which ends at a fixed time.
 #[derive(Debug)]
 struct Penalty {
     until_ns: u64,
@@ -72,7 +72,8 @@
 }
 
 impl Bulkheads {
-    /// Creates bulkheads that divide this many slots. The limit of an owner is at least one slot.
+    /// Creates bulkheads whose limits are fractions of this many slots, at least one slot each. There are no limits if the
+    /// settings disable them.
     pub fn new(settings: &BulkheadSettings, slots: usize) -> Self {
         let limit = |fraction: f64| {
             if settings.enabled.0 {
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Withholds a slot from the owner's network for the penalty time, since one of its connections was aborted as slow.
+    /// Reduces the limit of the owner's network by one slot for the penalty time, since one of its connections was aborted
+    /// as slow. No effect if the owner has no network.
     pub fn penalize(&mut self, now_ns: u64, owner: ResourceOwner) {
         let Some(network) = owner.peer_network else {
             return;
--- a/crates/slow-peer/src/incoming.rs
+++ b/crates/slow-peer/src/incoming.rs
@@ -6,9 +6,9 @@
 //! - It is *too slow*: at its recent rate, even multiplied by the configured slack, the remaining bytes would not arrive
 //!   before the deadline.
 //!
-//! The rate is measured over the last few arrivals, however long these took: the bursts of a transfer that arrives in
-//! bursts with pauses between them count in full, and a transfer that pauses after its first arrivals has no rate yet. If
-//! the length is not known (chunked encoding), only a stall aborts the transfer.
+//! The rate is measured over the last few arrivals, however long these took, so that it covers both the bursts and the
+//! pauses of a transfer that arrives in bursts. A transfer with fewer arrivals has no rate yet and is not too slow. If the
+//! length is not known (chunked encoding), only a stall aborts the transfer.
 
 #[cfg(test)]
 mod tests;
--- a/crates/slow-peer/src/outgoing.rs
+++ b/crates/slow-peer/src/outgoing.rs
@@ -1,4 +1,5 @@
-//! Outgoing transfers: responses that are being sent to clients.
+//! Outgoing transfers: responses that are being sent to clients. A byte of a response is *unsent* until the client has
+//! acknowledged it.
 //!
 //! An abort must not lose a request. Whether a connection may be aborted therefore depends on its state:
 //!
@@ -27,18 +28,18 @@
 pub use abort::{Abort, AbortReason, ResourceNeed};
 pub use transfer::TransferProgress;
 
-/// Identifies an open connection.
+/// Identifies an open connection; assigned by the monitor and not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
 /// A response that is about to be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseStart {
-    /// The connection.
+    /// The connection on which the response is sent.
     pub id: ConnectionId,
     /// The owner that its bytes are accounted to.
     pub owner: ResourceOwner,
-    /// Length of the response.
+    /// Number of bytes to account for.
     pub bytes: u64,
     /// Progress of the connection before the response.
     pub progress: TransferProgress,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Returns true while a response on the connection is unsent.
+    /// Returns true while a monitored response on the connection has unsent bytes.
     pub fn is_sending(&self, id: ConnectionId) -> bool {
         self.transfers.contains_key(&id)
     }
@@ -168,7 +169,7 @@
         self.transfers.keys().copied().collect()
     }
 
-    /// The account of unsent bytes.
+    /// The account of unsent bytes. It is mutable for [`ResourceAccount::take_peak`].
     pub fn unsent_bytes(&mut self) -> &mut ResourceAccount {
         &mut self.unsent_bytes
     }
--- a/crates/slow-peer/src/outgoing/abort.rs
+++ b/crates/slow-peer/src/outgoing/abort.rs
@@ -3,7 +3,7 @@
 use crate::outgoing::ConnectionId;
 use crate::resource_account::{LimitExceeded, ResourceOwner};
 
-/// The reason why a connection is aborted.
+/// Why a connection is aborted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum AbortReason {
     /// The rate of the response was below the minimum data rate.
@@ -17,11 +17,11 @@
 /// A connection that has to be aborted. It is no longer monitored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Abort {
-    /// The connection.
+    /// The connection to abort.
     pub id: ConnectionId,
     /// The owner that its unsent bytes were accounted to.
     pub owner: ResourceOwner,
-    /// The reason for the abort.
+    /// Which rule requires the abort.
     pub reason: AbortReason,
     /// Bytes of its responses that were not yet acknowledged.
     pub unsent_bytes: u64,
@@ -29,18 +29,18 @@
     pub age_ns: u64,
 }
 
-/// A resource that is needed.
+/// A resource that has to be freed by aborting connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ResourceNeed {
     /// One connection slot.
     ConnectionSlot,
     /// Unsent bytes on an owner's account.
     Bytes {
-        /// The owner.
+        /// The owner that needs the bytes.
         owner: ResourceOwner,
         /// The limit that would be exceeded.
         limit: LimitExceeded,
-        /// Number of bytes.
+        /// How many bytes the owner needs, including those that are still available under the limit.
         bytes: u64,
     },
 }
--- a/crates/slow-peer/src/resource_account.rs
+++ b/crates/slow-peer/src/resource_account.rs
@@ -15,7 +15,7 @@
 }
 
 impl ResourceOwner {
-    /// Accounts to a customer only.
+    /// The owner of a resource that is limited for each customer but not for each network.
     pub(crate) fn customer(customer: u64) -> Self {
         ResourceOwner {
             customer: Some(customer),
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Accounts to a network only.
+    /// The owner of a resource that is limited for each network but not for each customer. `None` if the network is not
+    /// limited.
     pub(crate) fn network(peer_network: Option<IpNet>) -> Self {
         ResourceOwner {
             customer: None,
@@ -35,18 +36,18 @@
 /// A limit that would be exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, thiserror::Error)]
 pub enum LimitExceeded {
-    /// The limit for all owners together.
+    /// The limit in [`ResourceLimits::total`].
     #[error("the total limit would be exceeded")]
     Total,
-    /// The limit for one customer.
+    /// The limit in [`ResourceLimits::per_customer`].
     #[error("the customer's limit would be exceeded")]
     Customer,
-    /// The limit for one network.
+    /// The limit in [`ResourceLimits::per_network`].
     #[error("the limit of the peer's network would be exceeded")]
     PeerNetwork,
 }
 
-/// Limits on the use of a resource.
+/// Limits on the use of a resource, in its unit: slots or bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
     /// Limit for all owners together.
--- a/crates/slow-peer/src/socket/monitor.rs
+++ b/crates/slow-peer/src/socket/monitor.rs
@@ -42,7 +42,7 @@
 }
 
 impl MonitoredConnection {
-    /// The identifier of the connection.
+    /// The identifier to pass to the methods of the [`TransferMonitor`] that concern this connection.
     pub fn id(&self) -> ConnectionId {
         self.id
     }
@@ -98,7 +98,7 @@
         })
     }
 
-    /// The settings of the monitor.
+    /// The settings with which the monitor was created; they do not change.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
--- a/crates/slow-peer/src/statistics.rs
+++ b/crates/slow-peer/src/statistics.rs
@@ -10,13 +10,13 @@
 use crate::resource_account::{LimitExceeded, ResourceOwner};
 
 /// Maximum number of owners in the table. Beyond it, a new owner replaces the one with the fewest events. This bounds memory
-/// when peers connect from ever new addresses.
+/// when peers connect from ever-changing addresses.
 const MAX_OWNERS: usize = 64;
 
-/// A kind of event.
+/// What happened because a peer was slow or used too many resources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum SlowPeerEvent {
-    /// An outgoing response was aborted.
+    /// An outgoing response was aborted together with its connection.
     ResponseAborted(AbortReason),
     /// A response was replaced by a short one, since its bytes would have exceeded a limit.
     ResponseReplaced(LimitExceeded),
@@ -75,14 +75,14 @@
     }
 }
 
-/// The events of one owner.
+/// The events of one owner since it was added to the table, which [`SlowPeerStatistics::take`] empties.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerStatistics {
-    /// The customer or network. Events of upstream responses have no owner and appear in the counts only.
+    /// The customer, the network or both. Events of upstream responses have no owner and appear in the counts only.
     pub owner: ResourceOwner,
-    /// Number of events.
+    /// Number of events of any kind.
     pub events: u64,
-    /// The most recent event.
+    /// The kind of the most recent of these events.
     pub last_event: SlowPeerEvent,
     /// The highest number of unsent bytes of a response at an event.
     pub max_unsent_bytes: u64,
