--- a/src/daemon/config/platform.rs
+++ b/src/daemon/config/platform.rs
@@ -112,13 +112,13 @@
     pub(super) discovery_in_file: SocketAddr,
     /// The node's name, which is part of the names of the files that its processes share.
     pub name: String,
-    /// The address of the clients' listening socket.
+    /// The address of the clients' listening socket; port 0 is replaced by the port that was bound.
     pub listen: SocketAddr,
-    /// The admin address, if there is one.
+    /// The admin address, if there is one; port 0 is replaced by the port that was bound.
     pub admin_listen: Option<SocketAddr>,
-    /// The address of the discovery service.
+    /// The address of discovery at the start; a reload may find another one in the file.
     pub discovery: SocketAddr,
-    /// The seed of all random generators.
+    /// The seed of all random generators; 0 if the file has none.
     pub seed: u64,
     /// Maximum number of open file descriptors; halved at startup if a hot restart may run two processes.
     pub max_descriptors: usize,
--- a/src/daemon/discovery/registry/merged_list.rs
+++ b/src/daemon/discovery/registry/merged_list.rs
@@ -157,12 +157,12 @@
         position
     }
 
-    /// The position of the registry's list.
+    /// The position of the registry's list; `None` while there is neither a reported nor a restored one.
     pub(super) fn registry_position(&mut self) -> Option<Position> {
         self.source(REGISTRY).position()
     }
 
-    /// A snapshot of the registry's list.
+    /// A snapshot of the registry's list; `None` until the registry has reported to this process.
     pub(super) fn registry_snapshot(&mut self, now_unix_ms: u64) -> Option<Snapshot> {
         Snapshot::from_source(self.source(REGISTRY), Instant::now(), now_unix_ms)
     }
--- a/src/daemon/discovery/startup.rs
+++ b/src/daemon/discovery/startup.rs
@@ -49,7 +49,7 @@
 /// A response in which discovery rejects a call.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallRejection {
-    /// The response's `Retry-After`.
+    /// The response's `Retry-After`; `None` if it is missing or a date.
     pub retry_after: Option<TimeSpan>,
 }
 
--- a/src/daemon/discovery/watch/connection.rs
+++ b/src/daemon/discovery/watch/connection.rs
@@ -42,7 +42,7 @@
     TimedOut,
     /// Discovery rejected the call. The known revision stays valid.
     Rejected {
-        /// The answer's `Retry-After`, in seconds.
+        /// The answer's `Retry-After`, in seconds; `None` if it is missing or a date.
         retry_after_seconds: Option<f64>,
     },
     /// Discovery could not be reached, the connection broke, or the answer was invalid. The next answer may come from a
@@ -61,7 +61,7 @@
     Rejected {
         /// The answer's status.
         status: StatusCode,
-        /// The answer's `Retry-After`, in seconds.
+        /// The answer's `Retry-After`, in seconds; `None` if it is missing or a date.
         retry_after_seconds: Option<f64>,
     },
     /// The connection could not be established.
--- a/src/daemon/engine/message.rs
+++ b/src/daemon/engine/message.rs
@@ -36,7 +36,7 @@
     pub request: api::Request,
     /// Distinguishes this request from others with the same client-supplied id.
     pub serial: u64,
-    /// The client's deadline.
+    /// Deadline for the response: the client's, or an earlier one during a shutdown.
     pub deadline: Instant,
     /// The part forwarded to endpoints, shared by all attempts of the request.
     pub forwarded: Arc<ForwardedRequest>,
@@ -115,7 +115,7 @@
     pub attempt: u32,
     /// The endpoint that it was sent to.
     pub endpoint: EndpointId,
-    /// The outcome, which tells whether the request may have been executed.
+    /// The outcome, which shows whether the request may have been executed.
     pub outcome: Outcome,
     /// Time from the attempt's start to its outcome.
     pub latency: Duration,
--- a/src/daemon/engine/pending_request.rs
+++ b/src/daemon/engine/pending_request.rs
@@ -32,7 +32,8 @@
     pub responder: Option<oneshot::Sender<ClientResponse>>,
     /// The part forwarded with each attempt.
     pub forwarded: Arc<ForwardedRequest>,
-    /// The client's deadline, on the engine's clock.
+    /// Deadline for the response, on the engine's clock. Earlier than the client's if the request may have waited in the
+    /// kernel during a stall of the process, or if a shutdown limits it.
     pub deadline_ns: u64,
     pub class: ClassId,
     /// Number of attempts that the policy has decided on, including those that were not started; also the number of the
--- a/src/daemon/lifecycle/process_role.rs
+++ b/src/daemon/lifecycle/process_role.rs
@@ -114,7 +114,7 @@
 /// order and types of the fields are part of the protocol.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct TransferredState {
-    /// The current time of the decision policy's clock.
+    /// The time of the engine's clock, in nanoseconds, from which the new process continues it.
     pub now_ns: u64,
     /// Endpoints in maintenance.
     pub maintenance: MaintenanceSet,
--- a/src/daemon/resources/connection_budget.rs
+++ b/src/daemon/resources/connection_budget.rs
@@ -20,7 +20,7 @@
 pub(crate) struct ConnectionBudget {
     /// Client connections whose requests are served.
     pub clients: usize,
-    /// Additional client connections whose requests are rejected, while idle connections are evicted to make room.
+    /// Additional client connections whose requests are rejected, while idle connections are evicted to free permits.
     pub spare: usize,
     /// Connections to endpoints.
     pub upstream: usize,
--- a/src/daemon/server/connection_table/client_connection.rs
+++ b/src/daemon/server/connection_table/client_connection.rs
@@ -39,7 +39,7 @@
 /// The position of a connection that is not in the table, where positions start at 1.
 const NOT_IN_TABLE: u64 = 0;
 
-/// The state of one client connection.
+/// See the [module documentation](self).
 pub(crate) struct ClientConnection {
     table: Arc<ConnectionTable>,
     /// Its position in the table, or [`NOT_IN_TABLE`].
--- a/src/daemon/server/request_body.rs
+++ b/src/daemon/server/request_body.rs
@@ -97,7 +97,7 @@
     pub clock: Clock,
     /// Bounds the memory of all pending bodies: one permit per byte.
     pub permits: &'a Arc<Semaphore>,
-    /// The connection's registration with slow-peer protection.
+    /// The connection's registration with slow-peer protection; `None` if that is disabled.
     pub monitored: Option<&'a MonitoredTransfer>,
     /// The customer to whom a slow-peer event is attributed.
     pub customer: u64,
--- a/src/daemon/server/submission.rs
+++ b/src/daemon/server/submission.rs
@@ -22,7 +22,7 @@
 use crate::server::request_body::ReceivedBody;
 use crate::server::response::ClientResponse;
 
-/// The engine's queue is full.
+/// The engine's queue is full, so the request was not submitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the engine's queue is full")]
 pub(super) struct QueueFull;
--- a/src/daemon/upstream/endpoint.rs
+++ b/src/daemon/upstream/endpoint.rs
@@ -28,7 +28,7 @@
     pub idle: Vec<UpstreamConnection>,
 }
 
-/// One endpoint.
+/// An endpoint that the pool lists, or that attempts in flight still use after its removal.
 pub(super) struct UpstreamEndpoint {
     /// Protects address, draining flag and idle connections, which change together. Held only briefly by the pool and
     /// by attempts.
--- a/src/daemon/upstream/exchange.rs
+++ b/src/daemon/upstream/exchange.rs
@@ -31,7 +31,7 @@
 use crate::server::response::ResponseBody;
 use crate::server::streaming_body;
 
-/// An endpoint's response.
+/// An endpoint's response, which is complete or whose body is still being received.
 pub(super) struct UpstreamResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
--- a/src/daemon/upstream/response.rs
+++ b/src/daemon/upstream/response.rs
@@ -10,9 +10,9 @@
 use hyper::header::{HeaderMap, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{StatusCode, Version};
 
-/// The header that marks a response to a request that was never executed.
+/// The header that marks, with the value `1`, a response to a request that was never executed.
 const UNPROCESSED: &str = "x-unprocessed";
-/// The header of the load report.
+/// The header of the load report, whose value is a list of pairs such as `util=0.61,inflight=7`.
 const LOAD_REPORT: &str = "x-backend-load";
 /// Plausible values of a load report; a report with any other value is ignored.
 const PLAUSIBLE_LOAD: RangeInclusive<f64> = 0.0..=1e6;
