--- a/src/daemon/discovery/zone_failover.rs
+++ b/src/daemon/discovery/zone_failover.rs
@@ -1,7 +1,8 @@
 //! Zone failover: determines which share of its usual traffic each zone receives, if the operators enabled it. Connects the
 //! failover core (`applewall_zone_failover`) with the engine's attempts, clock and datagrams.
 //!
-//! Owned by the engine. Each attempt counts as at most one failing observation.
+//! Owned by the engine. An attempt that was reported as failing because it is overdue is not reported again if it times
+//! out or succeeds late; an error response or a broken connection is reported in any case.
 
 use std::collections::HashMap;
 
