--- a/crates/consul/src/blocking_query.rs
+++ b/crates/consul/src/blocking_query.rs
@@ -2,7 +2,8 @@
 //! response is used.
 //!
 //! It follows Consul's published rules for clients of blocking queries:
-//! - if the index is below the last one, the index of the next query is reset to 0; a missing index counts as 0;
+//! - if the index of a response is below the last one, the next query has no index, so that the agent responds at once;
+//!   a response without an index counts as one with index 0;
 //! - each wait time is extended by a random amount of up to a sixteenth, so that the queries of a fleet do not end at
 //!   the same time.
 //!
--- a/crates/consul/src/settings.rs
+++ b/crates/consul/src/settings.rs
@@ -10,7 +10,7 @@
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Settings {
-    /// Whether the store is used.
+    /// Whether the store is used. If it is off, the members come from discovery and, if enabled, from `[registry]`.
     #[garde(custom(requires_agent(&self.agent)))]
     pub enabled: EnabledFlag,
     /// Address and port of the agent on this machine.
@@ -25,7 +25,8 @@
     /// Wait time of a blocking query. A query without a response times out after this plus `patience`.
     #[garde(dive)]
     pub wait: DurationSetting,
-    /// How much later than the wait time of its query a response may arrive.
+    /// How much later than the wait time of its query a response may arrive. For a query without a wait time, such as
+    /// the first one, this is the timeout.
     #[garde(dive)]
     pub patience: DurationSetting,
     /// Maximum delay after a failure.
--- a/crates/consul/src/watcher.rs
+++ b/crates/consul/src/watcher.rs
@@ -49,15 +49,15 @@
     loop {
         let query = machine.next_query();
         let response = watcher.query(&query).await;
-        let output = machine.handle(input(response.as_ref()));
+        let output = machine.handle(query_input(response.as_ref()));
         if let (Some(consistency), Some(response)) = (output.apply_list, response) {
-            on_report(watcher.report(consistency, response));
+            on_report(watcher.full_list(consistency, response));
         }
         tokio::time::sleep(output.next_query_after).await;
     }
 }
 
-fn input(response: Option<&ListResponse>) -> QueryInput {
+fn query_input(response: Option<&ListResponse>) -> QueryInput {
     response.map_or(QueryInput::Failed, |response| QueryInput::List {
         index: response.index,
         leader_known: response.leader_known,
@@ -69,7 +69,6 @@
     agent: SocketAddr,
     /// The connection of the last query, if its whole response was read.
     connection: Option<AgentConnection>,
-    /// Limits the logging of rejected members.
     rejections: Rejections,
     /// Whether the current loss of the watch was logged; false while queries succeed.
     loss_logged: bool,
@@ -111,7 +110,8 @@
         Ok(response)
     }
 
-    fn report(&mut self, consistency: ReadConsistency, response: ListResponse) -> SourceInput {
+    /// Converts a response to the report of a full list, and logs that the watch has recovered if its loss was logged.
+    fn full_list(&mut self, consistency: ReadConsistency, response: ListResponse) -> SourceInput {
         if std::mem::take(&mut self.loss_logged) {
             tracing::info!(agent = %self.agent, "consul watch recovered");
         }
@@ -122,18 +122,20 @@
                 revision: response.index,
             },
             consistency,
-            updates: entries.filter_map(|entry| self.update(entry)).collect(),
+            updates: entries
+                .filter_map(|entry| self.member_update(entry))
+                .collect(),
         })
     }
 
     /// Converts a key to an update of its member; `None` if the key does not belong to a member.
-    fn update(&mut self, entry: KeyValue) -> Option<MemberUpdate> {
+    fn member_update(&mut self, entry: KeyValue) -> Option<MemberUpdate> {
         let id = entry.key.strip_prefix(&self.settings.prefix)?;
         if id.is_empty() {
             return None;
         }
         let value = entry.value.unwrap_or_default();
-        let parsed = self.record(&value);
+        let parsed = self.parse_record(&value);
         let record = self.rejections.check(id, parsed);
         if let Err(Some(error)) = &record {
             tracing::warn!(member = id, %error, "consul member rejected");
@@ -146,7 +148,8 @@
         })
     }
 
-    fn record(&self, value: &str) -> Result<MemberRecord, ValueError> {
+    /// Parses a member's record from its base64 text.
+    fn parse_record(&self, value: &str) -> Result<MemberRecord, ValueError> {
         let value = STANDARD.decode(value)?;
         Ok(MemberRecord::parse(&value, &self.settings.allowed)?)
     }
--- a/crates/etcd/src/settings.rs
+++ b/crates/etcd/src/settings.rs
@@ -33,10 +33,11 @@
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Settings {
-    /// Whether the registry is used. If it is off, the members come from discovery alone.
+    /// Whether the registry is used. If it is off, the members come from discovery and, if enabled, from `[consul]`.
     #[garde(custom(requires_endpoints(&self.endpoints)))]
     pub enabled: EnabledFlag,
-    /// Members of the registry's cluster. The next one is tried after each lost connection.
+    /// Addresses of the members of the registry's cluster. A node is connected to one of them, and to the next one after
+    /// a lost connection.
     pub endpoints: Endpoints,
     /// Prefix of the members' keys; the rest of a key is the member's id.
     #[garde(length(min = 1, max = 1_024))]
@@ -45,7 +46,7 @@
     pub token_file: Option<String>,
     /// Networks that members may listen in; if empty, any network is allowed.
     pub allowed: Networks,
-    /// Interval between two progress requests, which check that the watch is alive.
+    /// Time without a response on the watch after which a progress request checks that it is alive.
     #[garde(dive)]
     pub probe: DurationSetting,
     /// Timeout of a response; a full read may take ten times as long.
--- a/crates/etcd/src/watcher.rs
+++ b/crates/etcd/src/watcher.rs
@@ -94,7 +94,6 @@
     watch: Option<Watch>,
     /// Changes of a fragmented response, until its last fragment arrives.
     fragments: Vec<MemberUpdate>,
-    /// Limits the logging of rejected members.
     rejections: Rejections,
     /// Whether the current loss of the watch was logged; false while the watch is alive.
     loss_logged: bool,
@@ -171,7 +170,7 @@
         let updates = list
             .kvs
             .into_iter()
-            .filter_map(|kv| self.update(kv, proto::EventType::Put))
+            .filter_map(|kv| self.member_update(kv, proto::EventType::Put))
             .collect();
         // The outcome is ignored: a consistent list is always applied.
         (self.on_report)(SourceInput::FullList(FullList {
@@ -234,7 +233,7 @@
             } else {
                 proto::EventType::Delete
             };
-            let update = event.kv.and_then(|kv| self.update(kv, kind));
+            let update = event.kv.and_then(|kv| self.member_update(kv, kind));
             self.fragments.extend(update);
         }
         if response.fragment {
@@ -262,7 +261,11 @@
     }
 
     /// Converts a key to an update of its member; `None` if the key does not belong to a member.
-    fn update(&mut self, kv: proto::KeyValue, kind: proto::EventType) -> Option<MemberUpdate> {
+    fn member_update(
+        &mut self,
+        kv: proto::KeyValue,
+        kind: proto::EventType,
+    ) -> Option<MemberUpdate> {
         let prefix = self.settings.prefix.as_bytes();
         // A member's id is UTF-8; a key without the prefix was not requested.
         let id = String::from_utf8(kv.key.strip_prefix(prefix)?.to_vec()).ok()?;
@@ -270,7 +273,7 @@
             return None;
         }
         let record = match kind {
-            proto::EventType::Put => self.record(&id, &kv.value),
+            proto::EventType::Put => self.parse_record(&id, &kv.value),
             proto::EventType::Delete => None,
         };
         Some(MemberUpdate {
@@ -281,8 +284,9 @@
         })
     }
 
-    /// Parses a member's record, and logs a rejection.
-    fn record(&mut self, id: &str, value: &[u8]) -> Option<MemberRecord> {
+    /// Parses a member's record. If it is rejected, returns `None` and logs the reason within the limits of
+    /// [`Rejections`].
+    fn parse_record(&mut self, id: &str, value: &[u8]) -> Option<MemberRecord> {
         let parsed = MemberRecord::parse(value, &self.settings.allowed);
         let record = self.rejections.check(id, parsed);
         if let Err(Some(error)) = &record {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,16 +1,16 @@
 //! Cluster membership from registries, without I/O and without a clock.
 //!
 //! - [`MemberRecord`]: one member as a registry stores it, validated against a published schema;
-//! - [`Source`]: the members that one registry has reported, in full lists and changes. Drops replays, and detects a
-//!   registry whose history was reset;
+//! - [`Source`]: the members that one registry has reported, in full lists and changes. It drops replayed changes, and
+//!   detects that the registry's history was reset;
 //! - [`MergedMembership`]: several sources merged by precedence and age;
-//! - [`WatchMachine`]: the state machine of a watch: list, watch, progress requests, resumption, full read after a
-//!   compaction;
+//! - [`WatchMachine`]: the state machine of a watch. It reads the list, watches it, checks with progress requests that
+//!   the watch is alive, resumes a lost watch, and reads the list again after a compaction;
 //! - [`Backoff`]: the delays between attempts, for all watches of registries and discovery;
 //! - [`snapshot`]: the encoded last known list, for a start while the registry is unavailable.
 //!
-//! All state machines have the same interface: `handle(now, input)` takes an event and returns the actions to perform
-//! or the outcome. `now` is the current time of the caller's monotonic clock; nothing here reads a clock.
+//! [`Source`] and [`WatchMachine`] have the same interface: `handle(now, input)` takes an event and returns the outcome
+//! or the actions to perform. `now` is the current time of the caller's monotonic clock; nothing here reads a clock.
 
 mod backoff;
 mod merge;
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/watch.rs
@@ -1,9 +1,9 @@
 //! State machine of a registry watch, without I/O and without a clock.
 //!
 //! The machine connects, reads the full list once (or resumes at the position of a restored snapshot), watches from the
-//! next revision on, and sends a progress request every `progress_interval` to check that the watch is alive.
-//! The registry answers a progress request from memory, without reading the list. If the response does not arrive
-//! within `response_timeout`, the watch is considered dead and is resumed at the next endpoint.
+//! next revision on, and sends a progress request whenever nothing was received for `progress_interval`, to check that
+//! the watch is alive. The registry answers a progress request from memory, without reading the list. If the response
+//! does not arrive within `response_timeout`, the watch is considered dead and is resumed at the next endpoint.
 //!
 //! A fleet must not overload a restarting registry. Only a compaction or a reset of the registry's history requires a
 //! full read; every other reconnect resumes the watch, which costs the registry only the changes. Reconnect delays have
@@ -40,7 +40,7 @@
 /// Intervals, timeouts and delays of a watch.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchTiming {
-    /// Interval between two progress requests.
+    /// Time without a response on the watch after which a progress request is sent.
     pub progress_interval: Duration,
     /// Timeout of any response except a full list.
     pub response_timeout: Duration,
--- a/crates/slow-peer/src/resource_account.rs
+++ b/crates/slow-peer/src/resource_account.rs
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the limit that would be exceeded; if there are several, the narrowest one, which only this owner exceeds.
+    /// Returns the limit that would be exceeded; if there are several, the customer's before the network's before the total.
     pub fn acquire(&mut self, owner: ResourceOwner, amount: u64) -> Result<(), LimitExceeded> {
         for limit in [
             LimitExceeded::Customer,
--- a/crates/slow-peer/src/socket/monitor.rs
+++ b/crates/slow-peer/src/socket/monitor.rs
@@ -178,7 +178,8 @@
         self.state().customer_slots.release(owner);
     }
 
-    /// Begins a response of this length. If it would exceed a limit, the worst of the slow connections are aborted.
+    /// Begins a response of this length. If it would exceed a limit, the slow connections with the largest product of
+    /// unsent bytes and age are aborted.
     ///
     /// # Errors
     ///
@@ -241,7 +242,8 @@
         state.outgoing.is_sending(id)
     }
 
-    /// Aborts the worst of the slow connections to free a connection slot. Returns false if none may be aborted.
+    /// Aborts the slow connection with the largest product of unsent bytes and age, to free a connection slot. Returns false
+    /// if none may be aborted.
     pub fn abort_one_for_connection_slot(&self, now_ns: u64) -> bool {
         let mut state = self.state();
         state.poll_progress_if_due(now_ns);
