--- a/crates/fault-testbed/src/bin/measure-zones.rs
+++ b/crates/fault-testbed/src/bin/measure-zones.rs
@@ -50,22 +50,22 @@
 
 const ROWS: [Row; 4] = [
     Row {
-        name: "no responses",
+        name: "says nothing",
         fault: "mute instance:zone=0",
         zone_fails: true,
     },
     Row {
-        name: "responses 2 s late",
+        name: "takes 2 s",
         fault: "link instance:zone=0 -> ingress:all delay 2s",
         zone_fails: true,
     },
     Row {
-        name: "responds 500",
+        name: "answers 500 at once",
         fault: "fails instance:zone=0",
         zone_fails: true,
     },
     Row {
-        name: "one server: no responses",
+        name: "one server says nothing",
         fault: "mute instance:0",
         zone_fails: false,
     },
@@ -164,16 +164,16 @@
     const COLUMNS: &'static [&'static str] = &[
         "program",
         "ingresses",
-        "failure of zone 0",
+        "zone 0",
         "seed",
-        "attempts into it, by second",
-        "ingresses affected",
-        "in time during failure, at end",
-        "left zone 0",
-        "left others",
-        "full traffic after s",
-        "datagrams/s per ingress",
-        "peak warm-up load",
+        "requests into it, by second",
+        "paid",
+        "in time meanwhile, at the end",
+        "left",
+        "wrongly",
+        "full again, s",
+        "datagrams each a second",
+        "cold",
     ];
 
     fn rows(&self) -> usize {
