--- a/crates/startup-scheduler/src/scheduler/call_times.rs
+++ b/crates/startup-scheduler/src/scheduler/call_times.rs
@@ -16,8 +16,9 @@
 /// Maximum delay that the service may request, equal to the longest watch: an incorrect value must not leave the node
 /// without a list.
 const MAX_RETRY_AFTER: TimeSpan = TimeSpan::from_seconds(60.0);
-/// Fraction of the window within which a rejected node without a list retries; for the second retry, twice that. A few
-/// retries within a fifth of the window stay within the slack of the budget (`docs/cold-start-design.md`).
+/// Fraction of the window within which a rejected node without a list makes its first quick retry; the second one is made
+/// within twice that fraction. If few nodes are rejected, their retries stay within the slack of the budget
+/// (`docs/cold-start-design.md`).
 const QUICK_RETRY_WINDOW_FRACTION: f64 = 0.2;
 /// Maximum number of consecutive quick retries before a node waits for its slot again.
 const MAX_QUICK_RETRIES: u32 = 1;
--- a/crates/zone-failover/src/evaluation.rs
+++ b/crates/zone-failover/src/evaluation.rs
@@ -23,7 +23,7 @@
     pub(crate) endpoints: u32,
     /// Outcomes observed by this node and by the peers that reported recently: a sample of the fleet.
     pub(crate) fleet: OutcomeSums,
-    /// How many of these nodes vote against the zone.
+    /// Number of nodes that vote against the zone, among this node and the peers that reported recently.
     pub(crate) votes: u32,
     /// Outcomes observed by this node in about the last second.
     pub(crate) short_term: OutcomeSums,
--- a/crates/zone-failover/src/zone_state.rs
+++ b/crates/zone-failover/src/zone_state.rs
@@ -29,9 +29,10 @@
 /// The period during which the fleet observes a zone failing.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FailurePeriod {
-    /// When the failure began: the first evaluation that showed it, or the send time of an earlier failed attempt.
+    /// When the failure began: the time of the first evaluation that showed it, or the send time of an earlier failed
+    /// attempt.
     pub(crate) began_at: Timestamp,
-    /// The latest evaluation that showed it.
+    /// Time of the latest evaluation that showed the zone failing.
     pub(crate) last_shown_at: Timestamp,
 }
 
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -2,7 +2,7 @@
 
 use super::{ClassId, CustomerId, EndpointId, NodeSet, PlanId, RequestId};
 
-/// A client's request.
+/// A client's request as the policy sees it: identifiers, units and the time left, without method, headers or body.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Names the request in actions and events; unique among those that have no final answer yet.
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -159,7 +159,7 @@
     pub slow_start_ns: u64,
     /// Multiple of its current capacity at which an endpoint in slow start fails.
     pub overload_multiple: f64,
-    /// Window over which that multiple is counted.
+    /// Window over which the load is counted that [`overload_multiple`](Self::overload_multiple) applies to.
     pub overload_window_ns: u64,
     /// Maximum number of attempts of a request, the first one included.
     pub max_attempts: u32,
--- a/src/decision/endpoints/health.rs
+++ b/src/decision/endpoints/health.rs
@@ -7,7 +7,7 @@
 use crate::api::{ClassId, PlanId};
 use crate::decision::latency::LatencyEstimator;
 
-/// Minimum health weight of an endpoint: by the few requests that the fleet still sends it, its recovery is noticed.
+/// Minimum health weight of an endpoint: the fleet still sends it a few requests, which show when it has recovered.
 pub(super) const MIN_HEALTH_WEIGHT: f64 = 0.02;
 /// Health weight at or below which failures are attributed to the endpoint itself, not to overload.
 const MIN_HEALTHY_WEIGHT: f64 = 0.7;
--- a/src/decision/endpoints/outlier.rs
+++ b/src/decision/endpoints/outlier.rs
@@ -13,8 +13,8 @@
 const MAX_EJECTION: TimeSpan = TimeSpan::from_seconds(4.0);
 /// Maximum number of doublings of the ejection time.
 const MAX_DOUBLINGS: u32 = 3;
-/// Consecutive connection resets that do not eject an endpoint: single connections break, and a malformed response
-/// counts as a reset. An endpoint that is down refuses the next connection.
+/// Number of consecutive connection resets that do not eject an endpoint: single connections break, and a malformed
+/// response counts as a reset. An endpoint that is down is ejected nevertheless, as soon as it refuses a connection.
 const TOLERATED_RESETS: u32 = 2;
 
 impl EndpointRecord {
--- a/src/decision/endpoints/selection.rs
+++ b/src/decision/endpoints/selection.rs
@@ -43,9 +43,9 @@
     pub latency: &'a LatencyEstimator,
     /// Time constant of the node's rates.
     pub rate_time_constant: TimeSpan,
-    /// Cost completed per second.
+    /// Total cost of the node's attempts that complete per second.
     pub completed_per_second: f64,
-    /// Cost of the attempts that are not past their objective.
+    /// Total cost of the attempts in flight that are not past their latency objective.
     pub work_in_flight: f64,
 }
 
--- a/src/decision/endpoints/slow_start.rs
+++ b/src/decision/endpoints/slow_start.rs
@@ -107,7 +107,7 @@
             .count() as f64
     }
 
-    /// Cost of the recent attempts, each scaled by its remaining fraction of the window.
+    /// Total cost of the recent attempts, each scaled by the fraction of the window for which it still counts.
     fn spent_work(&self, now: Timestamp, window: TimeSpan) -> f64 {
         self.recent_attempts
             .iter()
--- a/src/decision/latency.rs
+++ b/src/decision/latency.rs
@@ -11,10 +11,11 @@
 /// Weight, in responses, of the estimate of a broader group beside that of the request's own kind: the first few
 /// latencies of a kind vary widely.
 const PRIOR_RESPONSES: f64 = 2.0;
-/// Weight of one response in a learned latency, once there are a hundred.
+/// Minimum weight of one response in a learned latency. The nth response of a kind has the weight 1/n up to the
+/// hundredth, and this one from then on.
 const LATENCY_WEIGHT: f64 = 0.01;
-/// Factor on that weight for a response that is slower than the estimate: time spent in an endpoint's queue is not
-/// part of the request's cost.
+/// Factor on the weight of a response that is slower than the learned latency: time spent in an endpoint's queue is
+/// not part of the request's cost.
 const SLOWER_RESPONSE_FACTOR: f64 = 0.3;
 /// Weight, in responses, of the assumption that a machine type has the usual latency.
 const MACHINE_TYPE_PRIOR: f64 = 10.0;
--- a/src/decision/overload/backlog.rs
+++ b/src/decision/overload/backlog.rs
@@ -86,8 +86,9 @@
     sample_pooled_backlog(context, pool, backlog.work_in_flight) > pooled_limit
 }
 
-/// Cost that this node's attempts complete per second. The estimate of a process that has just started is scaled up,
-/// because the decaying average is not filled yet. While the throughput is 0, the minimum of the limit applies.
+/// Total cost of this node's attempts that complete per second. The estimate of a process that has just started is
+/// scaled up, because the decaying average is not filled yet. If nothing completes, the result is 0, and the caller's
+/// limit is at its minimum, which [`MIN_OWN_BACKLOG`] determines.
 fn own_throughput(context: &Context<'_>, ladder: &Ladder) -> f64 {
     let filled = 1.0 - context.age().decay(ladder.time_constant());
     ladder.completed_per_second(context.now()) / filled.max(MIN_FILLED_FRACTION)
--- a/src/decision/overload/ladder.rs
+++ b/src/decision/overload/ladder.rs
@@ -113,7 +113,7 @@
         self.time_constant = time_constant;
     }
 
-    /// Cost that this node's attempts complete per second.
+    /// Total cost of this node's attempts that complete per second.
     pub(super) fn completed_per_second(&self, now: Timestamp) -> f64 {
         self.completed.read(now, self.time_constant)
     }
@@ -161,7 +161,7 @@
     }
 
     /// Ends a monitor interval, which is evaluated by `statistics`. `is_pooled`: they include peers' statistics,
-    /// which lag.
+    /// which arrive late.
     pub(super) fn end_interval(
         &mut self,
         now: Timestamp,
@@ -226,9 +226,9 @@
         }
     }
 
-    /// Minimum sojourn before a tightening. As in the paper, the lag lengthens only this one, since its purpose is to
-    /// prevent tightening too far. Pooled statistics lag, so the effect of the last change must be able to show in
-    /// them first.
+    /// Minimum sojourn before a tightening. As in the paper, the learned lag lengthens the sojourn before a tightening
+    /// but not the one before a loosening, because it is meant to prevent tightening too far. Pooled statistics are
+    /// delayed by up to [`POOL_LAG`], so the effect of the last change must have had time to show in them.
     fn sojourn_before_tightening(&self, min_sojourn: TimeSpan, is_pooled: bool) -> TimeSpan {
         let stretched = if self.lag * 2.0 > min_sojourn {
             min_sojourn.max(self.lag / 2.0)
--- a/src/decision/overload/load_index.rs
+++ b/src/decision/overload/load_index.rs
@@ -36,8 +36,8 @@
     // latency of the others.
     let responses = statistics.outcomes - statistics.rejected - statistics.timed_out;
     let is_mostly_fast = statistics.fast * 2.0 >= responses;
-    // The absence of failures signals underload only while queues are short; otherwise it would cancel the latency
-    // signal.
+    // The absence of failures signals underload only if at least half of the responses are fast; otherwise it would
+    // cancel the overload signal of the latencies.
     let signal = |is_overload: bool, is_underload: bool| {
         i32::from(is_overload) - i32::from(is_mostly_fast && is_underload && !is_overload)
     };
--- a/src/decision/overload/mod.rs
+++ b/src/decision/overload/mod.rs
@@ -124,7 +124,7 @@
         self.ladder.time_constant()
     }
 
-    /// Cost that this node's attempts complete per second.
+    /// Total cost of this node's attempts that complete per second.
     pub(crate) fn completed_per_second(&self, now: Timestamp) -> f64 {
         self.ladder.completed_per_second(now)
     }
@@ -157,12 +157,13 @@
             .end_interval(now, &statistics, context.is_large_fleet())
     }
 
-    /// The statistics that drive the ladder: this node's history and, in a large fleet, as much of the pool as is
-    /// missing to [`ENOUGH_OUTCOMES`], since the few outcomes of one node are mostly chance. In a large fleet without
-    /// recent messages of peers, they are empty.
+    /// The statistics that drive the ladder: this node's history and, in a large fleet, the pool, scaled to the number
+    /// of outcomes that the history lacks to reach [`ENOUGH_OUTCOMES`], since the few outcomes of one node are mostly
+    /// chance. In a large fleet without recent messages of peers, they are empty.
     ///
-    /// The pool lags, which is why the sojourn is longer with it. Its ratios from before a change could keep a filter
-    /// in force for too long, which is why its scaling is bounded.
+    /// A change shows late in the pool, which is why the sojourn before a tightening is longer with it. The pool's
+    /// ratios from before a change could keep a filter in force for too long, which is why its scaling is bounded by
+    /// [`MAX_POOL_SCALING`].
     fn effective_statistics(&self, context: &Context<'_>) -> LoadStatistics {
         let own = self.ladder.history();
         if !context.is_large_fleet() {
--- a/src/decision/overload/pool.rs
+++ b/src/decision/overload/pool.rs
@@ -27,8 +27,8 @@
 
 /// The pool of one node.
 ///
-/// Accessed only by the policy's task. Local outcomes and requests add to the outgoing statistics; peers' messages
-/// add to the outgoing statistics and to those that the load is evaluated by.
+/// Accessed only by the policy's task. Local outcomes and requests add to the outgoing statistics. Peers' messages add
+/// to the outgoing statistics and to the received ones, by which the load is evaluated.
 #[derive(Default)]
 pub(super) struct LoadPool {
     /// Statistics that this node passes on with its next message: its own and those it received.
--- a/src/decision/pending.rs
+++ b/src/decision/pending.rs
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Cost of the attempts that are not past their latency objective. Later responses are useless to the client and
+    /// Total cost of the attempts that are not past their latency objective. Later responses are useless to the client and
     /// must not count towards the backlog.
     pub(crate) fn work_in_flight(&self, context: &Context<'_>) -> f64 {
         self.requests
--- a/src/decision/policy/mod.rs
+++ b/src/decision/policy/mod.rs
@@ -293,7 +293,8 @@
         }
     }
 
-    /// Sends another attempt if the request may have one and the retry budget has a token for it.
+    /// Sends another attempt if the request may have one, the retry budget has a token for it and an endpoint can take
+    /// it. Returns true if the attempt was sent.
     fn retry(
         &mut self,
         context: &mut Context<'_>,
--- a/src/decision/quota/aggregate.rs
+++ b/src/decision/quota/aggregate.rs
@@ -85,8 +85,9 @@
         }
     }
 
-    /// Units that remain after `span` in a quota that is not refilled: the demand drains it, and a debt decays with
-    /// [`DEBT_HORIZON`].
+    /// Units that remain after `span` in a quota, before its refill over `span` is added. The demand drains it, but
+    /// at most until the refill brings it back to 0. A debt decays with [`DEBT_HORIZON`], and the demand is then
+    /// counted up to the quota's rate.
     pub(super) fn drain(&self, quota_units: f64, span: TimeSpan, plan: &Plan) -> f64 {
         let rate = plan.quota_units_per_second;
         let seconds = span.as_seconds();
--- a/src/decision/quota/ceiling.rs
+++ b/src/decision/quota/ceiling.rs
@@ -129,7 +129,8 @@
         };
     }
 
-    /// Returns true if a request of `units` may be admitted.
+    /// Returns true if the ceiling admits a request of `units`: if the plan has no ceiling, or if the allocation and
+    /// the reserve held here add up to at least the fraction of `units` that [`Self::draw_dither`] has drawn.
     pub(super) fn admits(&self, units: f64, plan: &Plan) -> bool {
         let available = self.units + self.reserve.unwrap_or(0.0);
         !plan.has_ceiling() || available >= units * self.dither
--- a/src/decision/quota/ledger.rs
+++ b/src/decision/quota/ledger.rs
@@ -54,8 +54,8 @@
             .or_insert_with(|| CustomerQuota::new(now))
     }
 
-    /// Returns the entry of a customer that is known to exist: [`Self::record_request`] has created that of a request's
-    /// customer.
+    /// Returns the entry of a customer that is known to exist, such as that of a request being processed, whose entry
+    /// [`Self::record_request`] has created.
     pub(super) fn existing_entry(&self, customer: CustomerFingerprint) -> &CustomerQuota {
         &self.customers[&customer]
     }
--- a/src/decision/quota/snapshot.rs
+++ b/src/decision/quota/snapshot.rs
@@ -215,7 +215,7 @@
         self.refill_all(now, plans);
     }
 
-    /// Takes over the customers of another process.
+    /// Replaces all customers of this ledger by those of another process.
     pub(in crate::decision) fn take_over(
         &mut self,
         customers: BTreeMap<CustomerFingerprint, CustomerSnapshot>,
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -22,7 +22,8 @@
 const ATTEMPT_TIMEOUT: f64 = 1.2;
 /// Minimum timeout of an attempt that can be retried, in usual latencies.
 const MIN_TIMEOUT_LATENCIES: f64 = 4.0;
-/// Remaining time, in such timeouts, below which an attempt gets all of it, because another one would be too late.
+/// Remaining time, in timeouts of an attempt that can be retried, below which an attempt gets all of it, because another
+/// one would be too late.
 const MIN_TIMEOUTS_LEFT: f64 = 1.5;
 /// Remaining time, in usual latencies, that another attempt needs.
 const MIN_LATENCIES_LEFT: f64 = 0.5;
@@ -74,7 +75,7 @@
 enum RetryWindow {
     /// No further attempt is safe: the request is not idempotent.
     Closed,
-    /// As long as the endpoints certainly recognize the idempotency key.
+    /// Another attempt is safe as long as the endpoints certainly recognize the idempotency key.
     For(TimeSpan),
     /// Every further attempt is safe: the request is idempotent.
     Unlimited,
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -24,8 +24,8 @@
 
 /// The incarnations of this process and its peers, and the schedule of gossip rounds.
 pub(crate) struct Gossip {
-    /// Random number of this process, below [`INCARNATIONS`]. By a new one, peers notice that the process was
-    /// restarted and its totals begin at 0.
+    /// Random number of this process, below [`INCARNATIONS`]. A changed incarnation tells peers that the process was
+    /// restarted and that its totals begin at 0 again.
     incarnation: u32,
     /// The last incarnation received from each peer.
     peer_incarnations: BTreeMap<NodeId, u32>,
