--- a/crates/etcd-proto/src/lib.rs
+++ b/crates/etcd-proto/src/lib.rs
@@ -203,7 +203,7 @@
     }
 }
 
-/// Creates a watch.
+/// Sent by the client to create a watch. The server answers with a [`WatchResponse`] in which `created` is true.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WatchCreateRequest {
     /// The first key of the range, which need not exist.
@@ -229,7 +229,7 @@
     pub fragment: bool,
 }
 
-/// Cancels a watch.
+/// Sent by the client to cancel a watch. The server answers with a [`WatchResponse`] in which `canceled` is true.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WatchCancelRequest {
     /// Id of the watch to cancel, from the response to its creation.
@@ -237,7 +237,7 @@
     pub watch_id: i64,
 }
 
-/// Requests a progress notification: a [`WatchResponse`] without events.
+/// Sent by the client to request a progress notification: a [`WatchResponse`] without events.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WatchProgressRequest {}
 
--- a/crates/fakes/src/clients/healthy.rs
+++ b/crates/fakes/src/clients/healthy.rs
@@ -117,9 +117,9 @@
 /// A response to a request.
 struct Response {
     status: String,
-    /// It is the response to this request, not to another one.
+    /// Whether it is the response to this request, not to another one.
     matches: bool,
-    /// Since the scheduled send time.
+    /// Time from the scheduled send time of the request to the last byte of the response.
     latency: Duration,
 }
 
--- a/crates/fakes/src/daemon/launcher.rs
+++ b/crates/fakes/src/daemon/launcher.rs
@@ -37,9 +37,9 @@
 /// Resources that the successive processes of an ingress share.
 #[derive(Debug)]
 pub struct InheritedResources {
-    /// Listener for clients; it stays open in this process while any of them runs.
+    /// Listener for clients; it stays open in this process while any of the processes of the ingress runs.
     pub listener: std::net::TcpListener,
-    /// Their `TMPDIR`.
+    /// Directory that the processes have as `TMPDIR`.
     pub folder: PathBuf,
 }
 
--- a/crates/fakes/src/etcd.rs
+++ b/crates/fakes/src/etcd.rs
@@ -45,7 +45,8 @@
 }
 
 impl EtcdServer {
-    /// An empty server that, with each change, compacts revisions older than the last `retained_revisions`; 0: none.
+    /// An empty server. With each change it compacts the revisions older than the last `retained_revisions`; 0 disables
+    /// this.
     pub fn new(cluster_id: u64, retained_revisions: i64) -> Self {
         let store = Store::new(cluster_id, retained_revisions);
         EtcdServer {
--- a/crates/fakes/src/measurement.rs
+++ b/crates/fakes/src/measurement.rs
@@ -41,9 +41,9 @@
 /// Labels at the beginning of a program's last line. Journals and scripts compare that line across versions.
 #[derive(Clone, Copy, Debug)]
 pub struct VerdictLabels {
-    /// If every goal was met.
+    /// Label of a run that met every goal.
     pub met: &'static str,
-    /// If a goal was missed.
+    /// Label of a run that missed at least one goal.
     pub missed: &'static str,
 }
 
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/watch.rs
@@ -61,7 +61,8 @@
     Inconsistent,
 }
 
-/// An event that the machine handles.
+/// What the caller reports to [`WatchMachine::handle`]: a change of the connection, a response of the registry, or the
+/// passing of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchInput {
     /// The connection that the last [`WatchOutput::Connect`] requested is established.
--- a/src/daemon/admin/handle.rs
+++ b/src/daemon/admin/handle.rs
@@ -76,9 +76,9 @@
 
 /// The receivers of the handle's queues.
 pub(crate) struct AdminReceivers {
-    /// For the engine.
+    /// Control messages for the engine.
     pub control: mpsc::Receiver<ControlMessage>,
-    /// For the lifecycle driver.
+    /// Drain requests for the lifecycle driver.
     pub drain_requests: mpsc::Receiver<DrainRequest>,
 }
 
--- a/src/daemon/cli.rs
+++ b/src/daemon/cli.rs
@@ -16,7 +16,7 @@
 /// Error in the command line.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum UsageError {
-    /// The sub-command is missing.
+    /// No argument is a sub-command, `--help` or `--version`.
     #[error("{USAGE}")]
     NoCommand,
     /// The first argument is not a sub-command.
--- a/src/daemon/config/file_error.rs
+++ b/src/daemon/config/file_error.rs
@@ -15,7 +15,6 @@
         "limits.sockets: {0} descriptors are too few, at least {MIN_DESCRIPTORS} are required"
     )]
     TooFewDescriptors(usize),
-    /// The seed is not a hexadecimal number.
     #[error("seed: '{0}' is not a hexadecimal number")]
     Seed(String),
 }
--- a/src/daemon/discovery/endpoint_list.rs
+++ b/src/daemon/discovery/endpoint_list.rs
@@ -16,8 +16,8 @@
 
 /// Maximum number of rejected entries of one list that are logged individually; the rest are logged as a count.
 const MAX_LOGGED_ENTRIES: usize = 3;
-/// Maximum number of rejected entries that are remembered as logged. Bounds memory use when discovery keeps sending new
-/// malformed entries.
+/// Maximum number of rejected entries that are remembered as logged after a delta. Bounds memory use when discovery keeps
+/// sending deltas with new malformed entries. The rejected entries of a full list are all remembered.
 const MAX_REPORTED_ENTRIES: usize = 1024;
 /// Maximum length of an id in the log, in characters; discovery may send ids of any length.
 const MAX_LOGGED_ID_CHARS: usize = 40;
--- a/src/daemon/discovery/watch.rs
+++ b/src/daemon/discovery/watch.rs
@@ -174,7 +174,7 @@
         }
     }
 
-    /// How long after the end of its wait an answer may arrive.
+    /// How long after the end of [`Self::watch_wait`] the answer to a call may arrive before the call times out.
     fn answer_margin(&self) -> Duration {
         match self.schedule {
             Some(_) => SERVICE_TIMING.answer_margin,
--- a/src/daemon/discovery/watch/machine.rs
+++ b/src/daemon/discovery/watch/machine.rs
@@ -26,7 +26,7 @@
 /// What determines when calls are made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallScheduling {
-    /// This node alone, by its [`WatchTiming`].
+    /// The node's own [`WatchTiming`], without coordination with other nodes.
     PerNode,
     /// The startup schedule of the fleet. The first call of a connection has no timeout of its own. A broken connection
     /// keeps the known revision, because a full list after each break is the load that the schedule avoids; a discovery
@@ -34,7 +34,7 @@
     Fleet,
 }
 
-/// State of the watch.
+/// A state of the diagram in the [module documentation](self).
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum WatchState {
     /// A connection is being established: at the start, and after each delay.
@@ -62,7 +62,7 @@
     },
 }
 
-/// Input of the state machine.
+/// What the caller reports to [`WatchMachine::handle`]: the result of an action.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum WatchInput<'event> {
     /// The connection attempt succeeded.
--- a/src/daemon/engine/message.rs
+++ b/src/daemon/engine/message.rs
@@ -30,7 +30,7 @@
     PeerDatagram(PeerDatagram),
 }
 
-/// A client's request.
+/// A completely received request of a client, and the channel for its response.
 pub(crate) struct ClientRequest {
     /// The request as passed to the decision policy.
     pub request: api::Request,
--- a/src/daemon/engine/pending_request.rs
+++ b/src/daemon/engine/pending_request.rs
@@ -30,7 +30,7 @@
     pub serial: u64,
     /// `None` once the response has been sent or the client has disconnected.
     pub responder: Option<oneshot::Sender<ClientResponse>>,
-    /// The part forwarded with each attempt.
+    /// The parts of the request that each attempt forwards to its endpoint.
     pub forwarded: Arc<ForwardedRequest>,
     /// Deadline for the response, on the engine's clock. Earlier than the client's if the request may have waited in the
     /// kernel during a stall of the process, or if a shutdown limits it.
--- a/src/daemon/lifecycle/shutdown.rs
+++ b/src/daemon/lifecycle/shutdown.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Drives the phases of drain and shutdown.
+/// Drains and shuts the process down on signals, drain requests and deadlines, and reloads the configuration on SIGHUP.
 pub(crate) struct LifecycleDriver {
     /// Handlers of SIGTERM, SIGINT and SIGHUP, installed at the start of the process.
     pub signals: Signals,
--- a/src/daemon/serve/bootstrap.rs
+++ b/src/daemon/serve/bootstrap.rs
@@ -29,9 +29,9 @@
 pub(super) struct BootstrapResult {
     /// The part that does not depend on an old process.
     pub bootstrap: Bootstrap,
-    /// From the old process, if there is one.
+    /// The state to start with: that of the old process, if there is one.
     pub start: StartState,
-    /// Bound or inherited; this process does not read them yet.
+    /// The sockets, bound or inherited, from which this process does not read yet.
     pub sockets: Sockets,
 }
 
--- a/src/daemon/server/admission.rs
+++ b/src/daemon/server/admission.rs
@@ -169,9 +169,10 @@
     fn decide_shedding(&self, registered: Option<&MonitorRegistration>) -> bool {
         let max = self.budget.clients;
         let open = self.open_connections();
-        // Clients whose connection pools are at their limit open no new connections, and would have to reject requests
-        // of their own, so idle connections are evicted before all permits are taken. If none is idle, the spare
-        // permits are used for connections that are only rejected: a connection that is not accepted would hang.
+        // Idle connections are evicted from three quarters of the limit on, before all permits are taken. Without that, a
+        // client whose connection pool is full could open no new connection and would have to reject requests itself.
+        // If no connection can be evicted, the spare permits serve connections on which requests are only rejected,
+        // because a connection that is not accepted would hang.
         let evicted = open > max * 3 / 4 && self.evict_one(FIRST_REQUEST_GRACE);
         let is_over_limit = open > max;
         // A connection whose network has no slot left takes one of the permits for connections that are only rejected.
--- a/src/daemon/server/client_socket.rs
+++ b/src/daemon/server/client_socket.rs
@@ -48,7 +48,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Option<RawFd>> {
-        // No code panics while it holds the lock, and even then the descriptor would be valid.
+        // No code panics while it holds the lock; if one did, the descriptor would still be valid.
         self.descriptor
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/src/daemon/server/connection_table.rs
+++ b/src/daemon/server/connection_table.rs
@@ -25,7 +25,7 @@
 }
 
 impl EvictionKey {
-    /// The lower bound of all connections that have, or have not, begun a request.
+    /// The lower bound of the keys of all connections with this value of `has_begun_request`.
     fn first(has_begun_request: bool) -> Self {
         EvictionKey {
             has_begun_request,
@@ -117,7 +117,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, EvictionQueue> {
-        // No code panics while it holds the lock, and even then the table would be consistent.
+        // No code panics while it holds the lock; if one did, the table would still be consistent.
         self.queue
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
--- a/src/daemon/server/framing.rs
+++ b/src/daemon/server/framing.rs
@@ -21,7 +21,7 @@
 /// Maximum number of bytes received while a response is pending that are stored and later read as the next request.
 const MAX_PIPELINED_BYTES: usize = 16 * 1024;
 /// Maximum number of bytes received while a response is pending that are read and discarded. They have to be read to
-/// detect the end of the connection behind them; the limit stops reading from a client that floods the connection.
+/// detect the end of the connection after them; the limit stops reading from a client that floods the connection.
 const MAX_DISCARDED_BYTES: usize = 512 * 1024;
 /// Size of one read while a response is pending.
 const READ_AHEAD_BYTES: usize = 2048;
@@ -43,7 +43,7 @@
 }
 
 impl RequestGuard {
-    /// Creates the guard of a new stream.
+    /// Creates the guard of a new connection. `registration` is `None` if slow-peer protection is disabled.
     pub(crate) fn new(
         connection: Arc<ClientConnection>,
         registration: Option<MonitoredConnection>,
--- a/src/daemon/server/framing/tests.rs
+++ b/src/daemon/server/framing/tests.rs
@@ -38,7 +38,8 @@
             .await
             .unwrap();
         client.flush().await.unwrap();
-        // While the response is pending the pipelined bytes are not returned, but the end behind them is.
+        // While the response is pending the pipelined bytes are not returned, but the end of the stream after them is: a
+        // read of 0 bytes.
         let (mut chunk, mut read) = (vec![0; MAX_PIPELINED_BYTES], 0);
         drop(client);
         assert_eq!(
--- a/src/daemon/server/request_handler.rs
+++ b/src/daemon/server/request_handler.rs
@@ -23,7 +23,7 @@
     pub customer: Option<u64>,
 }
 
-/// Handles one request.
+/// What [`RequestHandler::handle`] needs to handle one request.
 pub(super) struct RequestHandler<'a> {
     /// State shared by all connections.
     pub context: &'a ServerContext,
--- a/src/daemon/server/response.rs
+++ b/src/daemon/server/response.rs
@@ -43,7 +43,7 @@
     Rejected {
         /// 429 if the policy has not decided on any attempt, otherwise 503.
         status: StatusCode,
-        /// The value of the Retry-After header; without it or with 0, the header is omitted.
+        /// The value of the Retry-After header; `None` or 0 omits the header.
         retry_after_ns: Option<u64>,
     },
     /// The request failed; it may or may not have been executed.
--- a/src/daemon/server/streaming_body.rs
+++ b/src/daemon/server/streaming_body.rs
@@ -44,7 +44,7 @@
 
     /// Marks the body as complete.
     pub(crate) async fn finish(self) {
-        // Fails if the body has been dropped, so that no end is needed.
+        // Fails if the body has been dropped; nothing reads the end then.
         let _ = self.0.send(BodyMessage::End).await;
     }
 }
--- a/src/daemon/upstream/exchange.rs
+++ b/src/daemon/upstream/exchange.rs
@@ -40,7 +40,7 @@
 
 /// Everything that the exchange of one attempt needs besides its connection.
 pub(super) struct Exchange<'a> {
-    /// The context provided by the pool.
+    /// The endpoint and what the attempt shares with others: timeouts, limits and the queue to the engine.
     pub context: &'a AttemptContext,
     /// The part of the client's request that is sent.
     pub forwarded: &'a ForwardedRequest,
